--- a/crates/decision/src/steward.rs
+++ b/crates/decision/src/steward.rs
@@ -30,7 +30,7 @@
         let Some(slot) = slot.filter(|slot| !slot.proven()) else {
             return;
         };
-        self.batch.push(batch::Entry::Warmth(Entry {
+        self.append_queue.push(batch::Entry::Warmth(Entry {
             endpoint: endpoint.digest,
             kind: Kind::Bore(generation.0),
             incarnation: slot.holder.incarnation,
@@ -86,7 +86,7 @@
             // From here on the part belongs to the other instance, whenever the record
             // arrives: one request more would be one too many there.
             endpoint.yielding |= matches!(entry.kind, Kind::Yield { .. });
-            self.batch.push(batch::Entry::Warmth(entry));
+            self.append_queue.push(batch::Entry::Warmth(entry));
         }
     }
 
