--- a/crates/decision/src/batch.rs
+++ b/crates/decision/src/batch.rs
@@ -14,7 +14,7 @@
     /// About an order key.
     Claim(claim::Entry),
     /// About an endpoint's start.
-    Warmth(warmth::Entry),
+    SlowStart(slow_start::Entry),
 }
 
 /// What one append to the claim stream carries.
--- a/crates/decision/src/call.rs
+++ b/crates/decision/src/call.rs
@@ -57,7 +57,7 @@
             return;
         };
         let (endpoint, claim) = (run.endpoint, run.claim);
-        self.bore(endpoint, attempt.generation);
+        self.record_served(endpoint, attempt.generation);
         if let Some(claim) = claim {
             self.note(attempt.request, claim, Kind::Answered(Stored::of(&answer)));
         }
--- a/crates/decision/src/reading.rs
+++ b/crates/decision/src/reading.rs
@@ -31,16 +31,16 @@
                         self.claims.apply(entry, batch.instance);
                         self.settle(now, entry.key(), out);
                     }
-                    batch::Entry::Warmth(entry) => self.read_warmth(entry, batch.instance),
+                    batch::Entry::SlowStart(entry) => self.apply_slow_start(entry, batch.instance),
                 }
             }
         }
         self.dispatch(now, out);
     }
 
-    pub(crate) fn read_warmth(&mut self, entry: &warmth::Entry, instance: u64) {
-        self.warmth.apply(entry, instance);
-        let yielded = matches!(entry.kind, warmth::Kind::Yield { .. });
+    pub(crate) fn apply_slow_start(&mut self, entry: &slow_start::Entry, instance: u64) {
+        self.slow_start.apply(entry, instance);
+        let yielded = matches!(entry.kind, slow_start::Kind::TransferQuota { .. });
         if !yielded || instance != self.digest {
             return;
         }
--- a/crates/decision/src/routing.rs
+++ b/crates/decision/src/routing.rs
@@ -58,16 +58,16 @@
     ///
     /// Warm by the log: yes. Cold: only up to this instance's part of its limit.
     pub(crate) fn bears(&self, endpoint: &Endpoint) -> bool {
-        let Some(slot) = self.warmth.get(endpoint.digest) else {
+        let Some(slot) = self.slow_start.get(endpoint.digest) else {
             return false;
         };
         let current = endpoint.incarnation() == Some(slot.holder.incarnation);
-        let part = if endpoint.yielding {
+        let quota = if endpoint.yielding {
             0
         } else {
-            slot.part(self.digest)
+            slot.quota(self.digest)
         };
-        current && (slot.warm || endpoint.running < part)
+        current && (slot.warm || endpoint.running < quota)
     }
 
     /// Number of endpoints that could take a request of this instance now.
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -41,7 +41,7 @@
     pub(crate) config_read: Option<Time>,
     pub(crate) lengths: Lengths,
     pub(crate) live: Vec<u64>,
-    pub(crate) absent: Vec<(u64, Time)>,
+    pub(crate) absent_since: Vec<(u64, Time)>,
     pub(crate) begun: Option<Wall>,
     pub(crate) snapshot_again: Time,
     pub(crate) snapshot_at: Option<Wall>,
@@ -53,7 +53,7 @@
     /// Configuration records kept for fellow instances.
     pub history: History,
     /// Which endpoints are cold, as far as the log was read.
-    pub warmth: Warmth,
+    pub slow_start: SlowStart,
     pub(crate) digest: u64,
     pub(crate) orders: Vec<(order::Key, request::Key)>,
     pub(crate) rng: StdRng,
@@ -81,7 +81,7 @@
             lengths: Lengths::default(),
             limits,
             live: Vec::new(),
-            absent: Vec::new(),
+            absent_since: Vec::new(),
             begun: None,
             snapshot_again: Time::default(),
             snapshot_at: None,
@@ -93,7 +93,7 @@
             rng: StdRng::seed_from_u64(seed),
             round: 0,
             stats: Stats::default(),
-            warmth: Warmth::default(),
+            slow_start: SlowStart::default(),
         }
     }
 
@@ -294,8 +294,8 @@
             self.watch(now, key, out);
         }
         self.poll(now, out);
-        self.note_absent(now);
-        self.tend(now);
+        self.track_absent_instances(now);
+        self.propose_slow_start(now);
         self.gossip(now, out);
         self.snapshot(now, wall, out);
         self.claims
--- a/crates/decision/src/stream.rs
+++ b/crates/decision/src/stream.rs
@@ -66,7 +66,7 @@
         if let Work::Generation { model, .. } = &self.requests[attempt.request].work {
             self.lengths.learn(model, tokens);
         }
-        self.bore(endpoint, attempt.generation);
+        self.record_served(endpoint, attempt.generation);
         self.finish(attempt.request, Outcome::Answered(None), out);
         self.dispatch(now, out);
     }
--- a/crates/decision/tests/fairness.rs
+++ b/crates/decision/tests/fairness.rs
@@ -11,9 +11,9 @@
         gossip::ConfigRecord,
         limits::Limits,
         record::{Body, Change, Customer, Item, Kind, Record, Route, Version},
+        slow_start,
         state::State,
         time::{Time, Wall},
-        warmth,
     },
     std::time::Duration,
 };
@@ -102,13 +102,13 @@
         .map(|endpoint| endpoint.digest)
         .collect::<Vec<_>>();
     let entries = engines.iter().flat_map(|digest| {
-        let take = warmth::Kind::Take {
+        let take = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
-            parts: Vec::new(),
+            quotas: Vec::new(),
         };
-        [take, warmth::Kind::Warm].map(|kind| {
-            batch::Entry::Warmth(warmth::Entry {
+        [take, slow_start::Kind::Warm].map(|kind| {
+            batch::Entry::SlowStart(slow_start::Entry {
                 endpoint: *digest,
                 kind,
                 incarnation: 1,
--- a/crates/decision/tests/repeats.rs
+++ b/crates/decision/tests/repeats.rs
@@ -14,9 +14,9 @@
         order::Order,
         outcome::{Evidence, Outcome},
         record::{Body, Change, Customer, Facts, Item, Kind, Record, Service},
+        slow_start,
         state::{State, digest},
         time::{Time, Wall},
-        warmth,
     },
     std::time::Duration,
 };
@@ -53,13 +53,13 @@
             leaving: false,
         };
         desk.step(Event::Listed(vec![member], Vec::new()));
-        let take = warmth::Kind::Take {
+        let take = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
-            parts: Vec::new(),
+            quotas: Vec::new(),
         };
-        let entries = [take, warmth::Kind::Warm].map(|kind| {
-            batch::Entry::Warmth(warmth::Entry {
+        let entries = [take, slow_start::Kind::Warm].map(|kind| {
+            batch::Entry::SlowStart(slow_start::Entry {
                 endpoint: digest("desk"),
                 kind,
                 incarnation: digest("desk"),
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -7,7 +7,7 @@
         answer::Answer,
         arrival::{Arrival, Work},
         attempt::Attempt,
-        batch::{Batch, AppendResult},
+        batch::{AppendResult, Batch},
         endpoint::{self, Kind, Member, Report},
         event::{Event, Failure, Peer},
         generation,
@@ -569,7 +569,7 @@
         // count against the present one.
         let state = &self.cores[core].state;
         let current = state.endpoints[endpoint].incarnation() == Some(self.incarnation);
-        let slot = state.warmth.get(state.endpoints[endpoint].digest);
+        let slot = state.slow_start.get(state.endpoints[endpoint].digest);
         if engine && current && slot.is_some_and(|slot| !slot.warm) {
             self.cold.push((core, life, attempt.generation));
         }
