--- a/crates/carawayhead/src/command/publish.rs
+++ b/crates/carawayhead/src/command/publish.rs
@@ -173,8 +173,6 @@
         ApplyResult::Conflict { item, winner: None } => Err(Error::Beaten(format!(
             "{item}: 'replaces' names a version, but the item does not exist; nothing of this record is in force"
         ))),
-        ApplyResult::InForce | ApplyResult::AlreadyApplied | ApplyResult::UnsupportedSchema => {
-            Ok(())
-        }
+        ApplyResult::InForce | ApplyResult::AlreadyApplied | ApplyResult::UnknownSchema => Ok(()),
     }
 }
--- a/crates/carawayhead/src/command/show.rs
+++ b/crates/carawayhead/src/command/show.rs
@@ -126,7 +126,7 @@
         ApplyResult::Conflict { item, winner: None } => format!("{item} does not exist"),
         ApplyResult::InForce => "in force".to_string(),
         ApplyResult::AlreadyApplied => "old".to_string(),
-        ApplyResult::UnsupportedSchema => "newer schema".to_string(),
+        ApplyResult::UnknownSchema => "newer schema".to_string(),
     }
 }
 
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -263,8 +263,7 @@
         let noticed = since.elapsed() >= self.drain_notice;
         // With the log out the last entries cannot be appended; waiting for it without
         // a bound would keep the instance for as long as the outage lasts.
-        let told =
-            self.state.append_queue.is_empty() || since.elapsed() >= self.drain_notice + FLUSH;
+        let told = self.state.appends.is_empty() || since.elapsed() >= self.drain_notice + FLUSH;
         served && noticed && told
     }
 
--- a/crates/carawayhead/src/daemon/snapshot.rs
+++ b/crates/carawayhead/src/daemon/snapshot.rs
@@ -47,7 +47,7 @@
         let age = state.staleness(now).map(|age| age.as_millis());
         Self {
             backlog: state.backlog.len(),
-            batch: state.append_queue.len(),
+            batch: state.appends.len(),
             checks: state.invariants.checks(),
             claims: state.claims.len(),
             config_next: state.config.next(),
--- a/crates/decision/src/call.rs
+++ b/crates/decision/src/call.rs
@@ -149,7 +149,7 @@
 
     /// Gives a claim up that was never used to send.
     pub(crate) fn void(&mut self, key: request::Key, claim: claim::Id) {
-        if !self.append_queue.withdraw(claim) {
+        if !self.appends.withdraw(claim) {
             self.note(key, claim, Kind::Void);
         }
     }
@@ -290,7 +290,7 @@
             return;
         };
         let name = self.order_key(key, order);
-        self.append_queue.push(batch::Entry::Claim(claim::Entry {
+        self.appends.push(batch::Entry::Claim(claim::Entry {
             claim,
             customer: name.customer,
             kind,
--- a/crates/decision/src/config.rs
+++ b/crates/decision/src/config.rs
@@ -20,7 +20,7 @@
     /// Its offset was applied before; nothing changed.
     AlreadyApplied,
     /// The schema is newer than this version understands; it is kept and relayed.
-    UnsupportedSchema,
+    UnknownSchema,
 }
 
 /// One item with the offset that last changed it.
@@ -57,7 +57,7 @@
         self.seen = true;
         if record.schema > SCHEMA {
             self.unknown += 1;
-            return ApplyResult::UnsupportedSchema;
+            return ApplyResult::UnknownSchema;
         }
         if let Some(change) = record.changes.iter().find(|change| !self.fits(change)) {
             return ApplyResult::Conflict {
--- a/crates/decision/src/ending.rs
+++ b/crates/decision/src/ending.rs
@@ -8,7 +8,7 @@
         match &self.requests[key].phase {
             Phase::Claiming { claim, .. } => {
                 let claim = *claim;
-                if self.append_queue.withdraw(claim) {
+                if self.appends.withdraw(claim) {
                     self.refuse(key, Refusal::LogUnavailable, Some(ROOM_RETRY), out);
                     return;
                 }
--- a/crates/decision/src/proposal.rs
+++ b/crates/decision/src/proposal.rs
@@ -31,7 +31,7 @@
         let Some(slot) = slot.filter(|slot| !slot.served_enough()) else {
             return;
         };
-        self.append_queue.push(batch::Entry::SlowStart(Entry {
+        self.appends.push(batch::Entry::SlowStart(Entry {
             endpoint: endpoint.digest,
             kind: Kind::Served(generation.0),
             incarnation: slot.holder.incarnation,
@@ -92,7 +92,7 @@
             // which is before it is read here; a request sent until then would exceed the
             // limit.
             endpoint.yielding |= matches!(entry.kind, Kind::TransferQuota { .. });
-            self.append_queue.push(batch::Entry::SlowStart(entry));
+            self.appends.push(batch::Entry::SlowStart(entry));
         }
     }
 
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -14,7 +14,7 @@
     /// Requests that wait for an endpoint.
     pub backlog: Backlog,
     /// Entries on their way into the claim stream.
-    pub append_queue: crate::batch::Queue,
+    pub appends: crate::batch::Queue,
     /// What second tries may spend.
     pub budget: Budget,
     /// Claims, as far as the log was read.
@@ -65,7 +65,7 @@
     pub fn new(name: &str, domain: &str, limits: Limits, seed: u64) -> Self {
         Self {
             backlog: Backlog::default(),
-            append_queue: crate::batch::Queue::default(),
+            appends: crate::batch::Queue::default(),
             budget: Budget::new(limits.retry_percent, 20),
             claims: Table::default(),
             claims_read: None,
@@ -169,10 +169,9 @@
     pub fn step(&mut self, now: Time, wall: Wall, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Answered(attempt, answer) => self.answered(now, attempt, answer, out),
-            Event::Appended(sent) => {
-                self.append_queue
-                    .ended(sent, now, self.limits.append_interval * 4)
-            }
+            Event::Appended(sent) => self
+                .appends
+                .ended(sent, now, self.limits.append_interval * 4),
             Event::Claims(batches) => self.read_claims(now, batches, out),
             Event::ClaimsCoveredFrom(from) => self.claims.cover_from(from),
             Event::ClaimsCaughtUp(at) => self.claims_read = self.claims_read.max(Some(at)),
@@ -306,7 +305,7 @@
 
     /// Starts the next append if one is due.
     pub fn flush(&mut self, now: Time, out: &mut Vec<Action>) {
-        if let Some(entries) = self.append_queue.take(now, self.limits.append_interval) {
+        if let Some(entries) = self.appends.take(now, self.limits.append_interval) {
             out.push(Action::Append(Batch {
                 entries,
                 instance: self.digest,
