--- a/crates/decision/src/backlog.rs
+++ b/crates/decision/src/backlog.rs
@@ -54,8 +54,8 @@
 
 fn rank(request: &Request, config: &Config) -> (u8, f64, Time) {
     let Some(customer) = config.customers.get(request.customer) else {
-        return (u8::MAX, f64::MAX, request.arrived);
+        return (u8::MAX, f64::MAX, request.arrived_at);
     };
     let behind = u8::MAX - customer.priority;
-    (behind, customer.share(), request.arrived)
+    (behind, customer.served_per_weight(), request.arrived_at)
 }
--- a/crates/decision/src/batch.rs
+++ b/crates/decision/src/batch.rs
@@ -6,7 +6,7 @@
 };
 
 /// Most entries put into one append.
-pub const MOST: usize = 512;
+pub const MAX_BATCH_ENTRIES: usize = 512;
 
 /// One entry of the claim stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -43,9 +43,9 @@
 /// entry names its claim, or the holder it replaces: a second copy of one
 /// changes nothing in the tables.
 #[derive(Debug, Default)]
-pub struct Queue {
-    flight: Vec<Waiting>,
-    next: Time,
+pub struct AppendQueue {
+    in_flight: Vec<Waiting>,
+    next_append: Time,
     waiting: VecDeque<Waiting>,
 }
 
@@ -53,28 +53,28 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     /// Whether a copy of it may stand in the log already.
-    doubtful: bool,
+    maybe_appended: bool,
     entry: Entry,
 }
 
-impl Queue {
+impl AppendQueue {
     /// The append in flight has ended.
-    pub fn ended(&mut self, sent: AppendResult, now: Time, pause: Duration) {
-        let flight = std::mem::take(&mut self.flight);
-        if sent == AppendResult::Done {
+    pub fn finish(&mut self, result: AppendResult, now: Time, retry_delay: Duration) {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        if result == AppendResult::Done {
             return;
         }
-        for mut waiting in flight.into_iter().rev() {
-            waiting.doubtful |= sent == AppendResult::Lost;
+        for mut waiting in in_flight.into_iter().rev() {
+            waiting.maybe_appended |= result == AppendResult::Lost;
             self.waiting.push_front(waiting);
         }
-        self.next = now.after(pause);
+        self.next_append = now.after(retry_delay);
     }
 
     /// Entries neither in the log for certain nor given up.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.flight.len() + self.waiting.len()
+        self.in_flight.len() + self.waiting.len()
     }
 
     /// Whether nothing waits and nothing is in flight.
@@ -86,26 +86,26 @@
     /// When the next append may start, if there is one to start.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
-        (self.flight.is_empty() && !self.waiting.is_empty()).then_some(self.next)
+        (self.in_flight.is_empty() && !self.waiting.is_empty()).then_some(self.next_append)
     }
 
     /// Adds an entry.
     pub fn push(&mut self, entry: Entry) {
         self.waiting.push_back(Waiting {
-            doubtful: false,
+            maybe_appended: false,
             entry,
         });
     }
 
     /// Takes the entries for the next append, if it may start now.
-    pub fn take(&mut self, now: Time, interval: Duration) -> Option<Vec<Entry>> {
+    pub fn start_append(&mut self, now: Time, interval: Duration) -> Option<Vec<Entry>> {
         if self.due()? > now {
             return None;
         }
-        let most = MOST.min(self.waiting.len());
-        self.flight = self.waiting.drain(..most).collect();
-        self.next = now.after(interval);
-        let entries = self.flight.iter().map(|waiting| waiting.entry.clone());
+        let count = MAX_BATCH_ENTRIES.min(self.waiting.len());
+        self.in_flight = self.waiting.drain(..count).collect();
+        self.next_append = now.after(interval);
+        let entries = self.in_flight.iter().map(|waiting| waiting.entry.clone());
         Some(entries.collect())
     }
 
@@ -114,7 +114,7 @@
         let mut certain = false;
         self.waiting.retain(|waiting| {
             let same = matches!(&waiting.entry, Entry::Claim(entry) if entry.claim == claim);
-            certain |= same && !waiting.doubtful;
+            certain |= same && !waiting.maybe_appended;
             !same
         });
         certain
--- a/crates/decision/src/call.rs
+++ b/crates/decision/src/call.rs
@@ -1,12 +1,12 @@
 //! Calls of plain services, and orders that must run at most once.
 
 use crate::{
-    claim::{Kind, Standing, Stored},
+    claim::{KeyState, Kind, StoredAnswer},
     prelude::*,
 };
 
 /// When to come back if the log cannot be reached.
-const LOG_RETRY: Duration = Duration::from_secs(2);
+const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl State {
     /// Begins an order: looks its key up and claims it if it is free.
@@ -18,8 +18,8 @@
         order: order::Order,
         out: &mut Vec<Action>,
     ) {
-        let name = self.order_key(key, order);
-        let birth = name.birth();
+        let order_key = self.order_key(key, order);
+        let birth = order_key.birth();
         if birth > wall.plus(self.limits.skew) {
             self.refuse(key, Refusal::KeyFromFuture, None, out);
             return;
@@ -28,24 +28,29 @@
             self.refuse(key, Refusal::KeyExpired, None, out);
             return;
         }
-        let readable = self.claims.covers(name, self.limits.skew) && self.claims_fresh(now);
-        if self.claims.get(name).is_none() && !readable {
-            self.refuse(key, Refusal::LogUnavailable, Some(LOG_RETRY), out);
+        let readable = self.claims.covers(order_key, self.limits.skew) && self.claims_fresh(now);
+        if self.claims.get(order_key).is_none() && !readable {
+            self.refuse(key, Refusal::LogUnavailable, Some(LOG_RETRY_AFTER), out);
             return;
         }
-        self.join_order(key, name);
-        self.settle(now, name, out);
+        self.register_order(key, order_key);
+        self.resolve_order(now, order_key, out);
     }
 
     /// Looks again at all requests here that use an order key.
-    pub(crate) fn settle(&mut self, now: Time, name: order::Key, out: &mut Vec<Action>) {
-        for key in self.with_order(name) {
-            self.settle_one(now, name, key, out);
+    pub(crate) fn resolve_order(
+        &mut self,
+        now: Time,
+        order_key: order::Key,
+        out: &mut Vec<Action>,
+    ) {
+        for key in self.requests_with_order(order_key) {
+            self.resolve_request(now, order_key, key, out);
         }
     }
 
     /// The whole answer of a service came.
-    pub(crate) fn answered(
+    pub(crate) fn handle_answer(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -59,14 +64,18 @@
         let (endpoint, claim) = (run.endpoint, run.claim);
         self.record_served(endpoint, attempt.generation);
         if let Some(claim) = claim {
-            self.note(attempt.request, claim, Kind::Answered(Stored::of(&answer)));
+            self.append_claim_entry(
+                attempt.request,
+                claim,
+                Kind::Answered(StoredAnswer::of(&answer)),
+            );
         }
         self.finish(attempt.request, Outcome::Answered(Some(answer)), out);
         self.dispatch(now, out);
     }
 
     /// A call failed.
-    pub(crate) fn call_failed(
+    pub(crate) fn handle_call_failure(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -79,9 +88,9 @@
         };
         // That this send reached nobody says nothing of one before it, which may have
         // run at the endpoint that knows its key.
-        let only = request.sends <= 1;
+        let sent_once = request.sends <= 1;
         if let Failure::NotRun(evidence) = failure
-            && (idempotent || only)
+            && (idempotent || sent_once)
         {
             self.retry(now, attempt, Some(evidence), out);
             return;
@@ -90,17 +99,17 @@
             self.retry(now, attempt, None, out);
             return;
         }
-        if only && self.knows_repeats(attempt) && self.budget.spend() {
-            self.send_again(now, attempt, out);
+        if sent_once && self.endpoint_deduplicates(attempt) && self.retry_budget.try_withdraw() {
+            self.retry_same_endpoint(now, attempt, out);
             return;
         }
-        self.lose(attempt.request, MayHaveRun::ConnectionLost, out);
+        self.finish_unknown(attempt.request, MayHaveRun::ConnectionLost, out);
         self.dispatch(now, out);
     }
 
     /// Whether the endpoint itself refuses to run an order with this key twice.
-    fn knows_repeats(&mut self, attempt: Attempt) -> bool {
-        let keyed = self.requests[attempt.request].order().is_some();
+    fn endpoint_deduplicates(&mut self, attempt: Attempt) -> bool {
+        let has_order_key = self.requests[attempt.request].order().is_some();
         let Some(run) = self.run(attempt) else {
             return false;
         };
@@ -108,13 +117,13 @@
         let Some(endpoint) = self.endpoints.get(endpoint) else {
             return false;
         };
-        keyed && self.config.facts(&endpoint.member.name).deduplicates
+        has_order_key && self.config.facts(&endpoint.member.name).deduplicates
     }
 
     /// Sends an order once more to the same endpoint, which knows its key.
     ///
     /// Only that endpoint is known to have it; another one would run it again.
-    fn send_again(&mut self, now: Time, attempt: Attempt, out: &mut Vec<Action>) {
+    fn retry_same_endpoint(&mut self, now: Time, attempt: Attempt, out: &mut Vec<Action>) {
         let generation = generation::Id(self.rng.random());
         let request = &mut self.requests[attempt.request];
         request.sends += 1;
@@ -123,7 +132,7 @@
             return;
         };
         run.generation = generation;
-        run.progress = now;
+        run.last_progress = now;
         let endpoint = run.endpoint;
         self.stats.retried += 1;
         out.push(Action::Send {
@@ -138,19 +147,24 @@
     }
 
     /// Ends a request that was sent and whose result is unknown.
-    pub(crate) fn lose(&mut self, key: request::Key, why: MayHaveRun, out: &mut Vec<Action>) {
+    pub(crate) fn finish_unknown(
+        &mut self,
+        key: request::Key,
+        why: MayHaveRun,
+        out: &mut Vec<Action>,
+    ) {
         if let Phase::Running(run) = &self.requests[key].phase
             && let Some(claim) = run.claim
         {
-            self.note(key, claim, Kind::Lost);
+            self.append_claim_entry(key, claim, Kind::Lost);
         }
         self.finish(key, Outcome::MayHaveRun(why), out);
     }
 
     /// Gives a claim up that was never used to send.
-    pub(crate) fn void(&mut self, key: request::Key, claim: claim::Id) {
+    pub(crate) fn void_claim(&mut self, key: request::Key, claim: claim::Id) {
         if !self.appends.withdraw(claim) {
-            self.note(key, claim, Kind::Void);
+            self.append_claim_entry(key, claim, Kind::Void);
         }
     }
 
@@ -158,28 +172,28 @@
     ///
     /// A holder that died after its claim may or may not have sent the order;
     /// nobody can tell any more, and waiting would not change that.
-    pub(crate) fn settle_orphans(&mut self, out: &mut Vec<Action>) {
-        let names = self
+    pub(crate) fn finish_orphaned_orders(&mut self, out: &mut Vec<Action>) {
+        let orders = self
             .orders
             .iter()
-            .map(|(name, key)| (*name, *key))
+            .map(|(order_key, key)| (*order_key, *key))
             .collect::<Vec<_>>();
-        for (name, key) in names {
-            let Some(Standing::Held { holder, .. }) =
-                self.claims.get(name).map(|slot| &slot.standing)
+        for (order_key, key) in orders {
+            let Some(KeyState::Held { holder, .. }) =
+                self.claims.get(order_key).map(|slot| &slot.state)
             else {
                 continue;
             };
-            if !self.alive(*holder) && matches!(self.requests[key].phase, Phase::Sharing(_)) {
+            if !self.is_live(*holder) && matches!(self.requests[key].phase, Phase::Coalesced(_)) {
                 self.finish(key, Outcome::MayHaveRun(MayHaveRun::EarlierAttempt), out);
             }
         }
     }
 
-    fn settle_one(
+    fn resolve_request(
         &mut self,
         now: Time,
-        name: order::Key,
+        order_key: order::Key,
         key: request::Key,
         out: &mut Vec<Action>,
     ) {
@@ -194,41 +208,47 @@
         }
         let slot = self
             .claims
-            .get(name)
-            .filter(|slot| slot.standing != Standing::Free);
+            .get(order_key)
+            .filter(|slot| slot.state != KeyState::Free);
         let Some(slot) = slot else {
-            self.claim_unless_pending(key, name, order);
+            self.claim_unless_pending(key, order_key, order);
             return;
         };
         if slot.body != order.body {
-            self.drop_claim(key);
+            self.abandon_claim(key);
             self.refuse(key, Refusal::KeyReused, None, out);
             return;
         }
-        match slot.standing.clone() {
-            Standing::Answered(Some(stored)) => {
-                self.drop_claim(key);
+        match slot.state.clone() {
+            KeyState::Answered(Some(stored)) => {
+                self.abandon_claim(key);
                 self.finish(key, Outcome::Answered(Some(stored.answer())), out);
             }
-            Standing::Answered(None) | Standing::Lost => {
-                self.drop_claim(key);
+            KeyState::Answered(None) | KeyState::Lost => {
+                self.abandon_claim(key);
                 self.finish(key, Outcome::MayHaveRun(MayHaveRun::EarlierAttempt), out);
             }
-            Standing::Free => {}
+            KeyState::Free => {}
             // A part of the log was missed since the order arrived: an earlier claim of
             // the key may stand there, and what looks like a won claim may have lost.
-            Standing::Held { .. } if !self.claims.covers(name, self.limits.skew) => {
-                self.drop_claim(key);
+            KeyState::Held { .. } if !self.claims.covers(order_key, self.limits.skew) => {
+                self.abandon_claim(key);
                 self.finish(key, Outcome::MayHaveRun(MayHaveRun::EarlierAttempt), out);
             }
-            Standing::Held { claim, .. } => self.held(now, key, claim, out),
+            KeyState::Held { claim, .. } => self.handle_held_key(now, key, claim, out),
         }
     }
 
     /// The key is held, by this request's claim or by another one.
-    fn held(&mut self, now: Time, key: request::Key, holder: claim::Id, out: &mut Vec<Action>) {
+    fn handle_held_key(
+        &mut self,
+        now: Time,
+        key: request::Key,
+        holder: claim::Id,
+        out: &mut Vec<Action>,
+    ) {
         let request = &mut self.requests[key];
-        match std::mem::replace(&mut request.phase, Phase::Moving) {
+        match std::mem::replace(&mut request.phase, Phase::Transition) {
             Phase::Claiming { claim, proof } if claim == holder => {
                 request.phase = Phase::Waiting {
                     claim: Some(claim),
@@ -238,29 +258,39 @@
                 self.dispatch(now, out);
             }
             Phase::Claiming { claim, proof } => {
-                request.phase = Phase::Sharing(proof);
+                request.phase = Phase::Coalesced(proof);
                 self.stats.claims_lost += 1;
-                self.void(key, claim);
+                self.void_claim(key, claim);
             }
             Phase::Waiting {
                 proof: Some(proof), ..
-            } => request.phase = Phase::Sharing(proof),
+            } => request.phase = Phase::Coalesced(proof),
             phase => request.phase = phase,
         }
     }
 
     /// Claims a free key for a request, unless another one here is at it.
-    fn claim_unless_pending(&mut self, key: request::Key, name: order::Key, order: order::Order) {
-        let pending = self.with_order(name).into_iter().any(|other| {
-            matches!(
-                self.requests[other].phase,
-                Phase::Claiming { .. } | Phase::Waiting { claim: Some(_), .. } | Phase::Running(_)
-            )
-        });
+    fn claim_unless_pending(
+        &mut self,
+        key: request::Key,
+        order_key: order::Key,
+        order: order::Order,
+    ) {
+        let pending = self
+            .requests_with_order(order_key)
+            .into_iter()
+            .any(|other| {
+                matches!(
+                    self.requests[other].phase,
+                    Phase::Claiming { .. }
+                        | Phase::Waiting { claim: Some(_), .. }
+                        | Phase::Running(_)
+                )
+            });
         let claim = claim::Id(self.rng.random());
         let request = &mut self.requests[key];
-        let proof = match std::mem::replace(&mut request.phase, Phase::Moving) {
-            Phase::Sharing(proof)
+        let proof = match std::mem::replace(&mut request.phase, Phase::Transition) {
+            Phase::Coalesced(proof)
             | Phase::Waiting {
                 proof: Some(proof), ..
             } => proof,
@@ -270,31 +300,31 @@
             }
         };
         if pending {
-            request.phase = Phase::Sharing(proof);
+            request.phase = Phase::Coalesced(proof);
             return;
         }
         request.phase = Phase::Claiming { claim, proof };
-        self.note(key, claim, Kind::Claim(order.body));
+        self.append_claim_entry(key, claim, Kind::Claim(order.body));
     }
 
     /// Gives up the claim of a request that will not use it.
-    fn drop_claim(&mut self, key: request::Key) {
+    fn abandon_claim(&mut self, key: request::Key) {
         if let Phase::Claiming { claim, .. } = self.requests[key].phase {
-            self.void(key, claim);
+            self.void_claim(key, claim);
         }
     }
 
     /// Puts an entry about a request's claim into the next append.
-    fn note(&mut self, key: request::Key, claim: claim::Id, kind: Kind) {
+    fn append_claim_entry(&mut self, key: request::Key, claim: claim::Id, kind: Kind) {
         let Some(order) = self.requests[key].order() else {
             return;
         };
-        let name = self.order_key(key, order);
+        let order_key = self.order_key(key, order);
         self.appends.push(batch::Entry::Claim(claim::Entry {
             claim,
-            customer: name.customer,
+            customer: order_key.customer,
             kind,
-            uuid: name.uuid,
+            uuid: order_key.uuid,
         }));
     }
 }
--- a/crates/decision/src/claim.rs
+++ b/crates/decision/src/claim.rs
@@ -11,7 +11,7 @@
 };
 
 /// Largest answer that is kept in the log for callers who come back, in bytes.
-pub const ANSWER_LIMIT: usize = 2048;
+pub const MAX_STORED_ANSWER_BYTES: usize = 2048;
 
 /// Random identifier of one claim, the same in every copy of it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Kind {
     /// The order ran; the answer follows if it is small enough.
-    Answered(Option<Stored>),
+    Answered(Option<StoredAnswer>),
     /// The sender is about to send the order with this body digest.
     Claim(u128),
     /// The holder sent the order and lost sight of it.
@@ -56,7 +56,7 @@
 
 /// An answer as the log keeps it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredAnswer {
     /// The body.
     pub body: Vec<u8>,
     /// The `Content-Type`.
@@ -65,11 +65,11 @@
     pub status: u16,
 }
 
-impl Stored {
+impl StoredAnswer {
     /// Keeps `answer` if it is small enough.
     #[must_use]
     pub fn of(answer: &Answer) -> Option<Self> {
-        (answer.body.len() <= ANSWER_LIMIT).then(|| Self {
+        (answer.body.len() <= MAX_STORED_ANSWER_BYTES).then(|| Self {
             body: answer.body.to_vec(),
             media: answer.media.clone(),
             status: answer.status,
@@ -89,9 +89,9 @@
 
 /// Where an order key stands.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum KeyState {
     /// It ran; the answer is here if it was small enough.
-    Answered(Option<Stored>),
+    Answered(Option<StoredAnswer>),
     /// Nobody holds it.
     Free,
     /// A claim holds it.
@@ -113,32 +113,32 @@
     /// The key.
     pub key: order::Key,
     /// Where it stands.
-    pub standing: Standing,
+    pub state: KeyState,
     /// Claims given up, so that a late copy of one does not take the key again.
     voided: Vec<Id>,
 }
 
 /// All order keys within the window, sorted by key.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct ClaimTable {
     covered_from: Option<Wall>,
     slots: VecDeque<Slot>,
 }
 
-impl Table {
+impl ClaimTable {
     /// Applies one entry of the log and returns the key it changed, if any.
     pub fn apply(&mut self, entry: &Entry, holder: u64) {
         let slot = self.slot(entry.key());
         match &entry.kind {
             Kind::Answered(answer) => {
                 if slot.holds(entry.claim) {
-                    slot.standing = Standing::Answered(answer.clone());
+                    slot.state = KeyState::Answered(answer.clone());
                 }
             }
-            Kind::Claim(body) => slot.take(entry.claim, holder, *body),
+            Kind::Claim(body) => slot.acquire(entry.claim, holder, *body),
             Kind::Lost => {
                 if slot.holds(entry.claim) {
-                    slot.standing = Standing::Lost;
+                    slot.state = KeyState::Lost;
                 }
             }
             Kind::Void => slot.void(entry.claim),
@@ -150,7 +150,7 @@
     /// Called with the time of the first record read, and again when records
     /// between two reads aged out: keys that may have been claimed in the missing
     /// part must not be taken, or an order could run twice.
-    pub fn cover_from(&mut self, from: Wall) {
+    pub fn set_covered_from(&mut self, from: Wall) {
         self.covered_from = Some(from);
     }
 
@@ -166,19 +166,19 @@
 
     /// Drops keys born before `birth` and returns how many there were.
     pub fn expire(&mut self, birth: Wall) -> usize {
-        let gone = self.slots.partition_point(|slot| slot.key.birth() < birth);
-        self.slots.drain(..gone);
-        gone
+        let expired = self.slots.partition_point(|slot| slot.key.birth() < birth);
+        self.slots.drain(..expired);
+        expired
     }
 
     /// What is known of `key`.
     #[must_use]
     pub fn get(&self, key: order::Key) -> Option<&Slot> {
-        let place = self
+        let index = self
             .slots
             .binary_search_by_key(&key, |slot| slot.key)
             .ok()?;
-        self.slots.get(place)
+        self.slots.get(index)
     }
 
     /// Number of keys known.
@@ -194,14 +194,14 @@
     }
 
     fn slot(&mut self, key: order::Key) -> &mut Slot {
-        let place = match self.slots.binary_search_by_key(&key, |slot| slot.key) {
-            Ok(place) => place,
-            Err(place) => {
-                self.slots.insert(place, Slot::new(key));
-                place
+        let index = match self.slots.binary_search_by_key(&key, |slot| slot.key) {
+            Ok(index) => index,
+            Err(index) => {
+                self.slots.insert(index, Slot::new(key));
+                index
             }
         };
-        &mut self.slots[place]
+        &mut self.slots[index]
     }
 }
 
@@ -209,24 +209,24 @@
     /// Whether `claim` holds the key.
     #[must_use]
     pub fn holds(&self, claim: Id) -> bool {
-        matches!(self.standing, Standing::Held { claim: held, .. } if held == claim)
+        matches!(self.state, KeyState::Held { claim: held, .. } if held == claim)
     }
 
     const fn new(key: order::Key) -> Self {
         Self {
             body: 0,
             key,
-            standing: Standing::Free,
+            state: KeyState::Free,
             voided: Vec::new(),
         }
     }
 
-    fn take(&mut self, claim: Id, holder: u64, body: u128) {
-        if self.standing != Standing::Free || self.voided.contains(&claim) {
+    fn acquire(&mut self, claim: Id, holder: u64, body: u128) {
+        if self.state != KeyState::Free || self.voided.contains(&claim) {
             return;
         }
         self.body = body;
-        self.standing = Standing::Held { claim, holder };
+        self.state = KeyState::Held { claim, holder };
     }
 
     fn void(&mut self, claim: Id) {
@@ -234,7 +234,7 @@
             self.voided.push(claim);
         }
         if self.holds(claim) {
-            self.standing = Standing::Free;
+            self.state = KeyState::Free;
         }
     }
 }
--- a/crates/decision/src/ending.rs
+++ b/crates/decision/src/completion.rs
@@ -1,21 +1,21 @@
 //! How requests end.
 
-use crate::{prelude::*, state::ROOM_RETRY};
+use crate::{prelude::*, state::RETRY_AFTER};
 
 impl State {
     /// Past its deadline a request gets its final answer.
-    pub(crate) fn expire(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
+    pub(crate) fn handle_deadline(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
         match &self.requests[key].phase {
             Phase::Claiming { claim, .. } => {
                 let claim = *claim;
                 if self.appends.withdraw(claim) {
-                    self.refuse(key, Refusal::LogUnavailable, Some(ROOM_RETRY), out);
+                    self.refuse(key, Refusal::LogUnavailable, Some(RETRY_AFTER), out);
                     return;
                 }
-                self.void(key, claim);
+                self.void_claim(key, claim);
                 self.finish(key, Outcome::MayHaveRun(MayHaveRun::ClaimUnsettled), out);
             }
-            Phase::Moving => {}
+            Phase::Transition => {}
             Phase::Running(run) => {
                 let attempt = Attempt {
                     generation: run.generation,
@@ -23,23 +23,23 @@
                 };
                 let next = run.next;
                 if matches!(self.requests[key].work, Work::Call { .. }) {
-                    self.lose(key, MayHaveRun::DeadlinePassed, out);
+                    self.finish_unknown(key, MayHaveRun::DeadlinePassed, out);
                 } else {
                     self.cancel(attempt, false, out);
                     self.finish(key, Outcome::MayHaveRun(MayHaveRun::StreamCut(next)), out);
                 }
                 self.dispatch(now, out);
             }
-            Phase::Sharing(_) => {
+            Phase::Coalesced(_) => {
                 self.finish(key, Outcome::MayHaveRun(MayHaveRun::EarlierAttempt), out);
             }
             Phase::Waiting { .. } => {
-                self.give_up(key, Refusal::DeadlinePassed, Some(ROOM_RETRY), out);
+                self.give_up(key, Refusal::DeadlinePassed, Some(RETRY_AFTER), out);
             }
         }
     }
 
-    pub(crate) fn failed(
+    pub(crate) fn handle_failure(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -51,9 +51,9 @@
             return;
         }
         match self.requests[attempt.request].work {
-            Work::Call { .. } => self.call_failed(now, attempt, failure, out),
+            Work::Call { .. } => self.handle_call_failure(now, attempt, failure, out),
             Work::Generation { .. } | Work::Resume { .. } => {
-                self.stream_failed(now, attempt, failure, out);
+                self.handle_stream_failure(now, attempt, failure, out);
             }
         }
     }
@@ -66,7 +66,7 @@
         match &request.phase {
             Phase::Running(run) => self.release(run),
             Phase::Waiting { .. } => self.backlog.remove(key),
-            Phase::Claiming { .. } | Phase::Moving | Phase::Sharing(_) => {}
+            Phase::Claiming { .. } | Phase::Transition | Phase::Coalesced(_) => {}
         }
         self.orders.retain(|(_, other)| *other != key);
         match &outcome {
@@ -91,34 +91,39 @@
             proof: Some(_),
         } = self.requests[key].phase
         {
-            self.void(key, claim);
+            self.void_claim(key, claim);
         }
         self.refuse(key, refusal, retry_after, out);
     }
 
     /// The caller left. A sent order runs on, so that its answer is kept; a
     /// generation is kept for a while, since the caller may come back for the rest.
-    pub(crate) fn gone(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
+    pub(crate) fn handle_disconnect(
+        &mut self,
+        now: Time,
+        key: request::Key,
+        out: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
         match &mut request.phase {
             Phase::Claiming { claim, .. } => {
                 let claim = *claim;
-                self.void(key, claim);
+                self.void_claim(key, claim);
                 self.refuse(key, Refusal::CallerGone, None, out);
             }
-            Phase::Moving => {}
+            Phase::Transition => {}
             Phase::Running(run) => {
-                if run.left.is_some() {
+                if run.disconnected_at.is_some() {
                     return;
                 }
-                run.left = Some(now);
+                run.disconnected_at = Some(now);
                 if !matches!(request.work, Work::Call { .. }) {
                     out.push(Action::Detach(key));
                 }
             }
-            Phase::Sharing(_) => self.refuse(key, Refusal::CallerGone, None, out),
+            Phase::Coalesced(_) => self.refuse(key, Refusal::CallerGone, None, out),
             Phase::Waiting { .. } => self.give_up(key, Refusal::CallerGone, None, out),
         }
     }
@@ -131,9 +136,9 @@
         retry_after: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        let phase = std::mem::replace(&mut self.requests[key].phase, Phase::Moving);
+        let phase = std::mem::replace(&mut self.requests[key].phase, Phase::Transition);
         let proof = match phase {
-            Phase::Claiming { proof, .. } | Phase::Sharing(proof) => proof,
+            Phase::Claiming { proof, .. } | Phase::Coalesced(proof) => proof,
             Phase::Waiting {
                 proof: Some(proof), ..
             } => {
@@ -151,14 +156,14 @@
     }
 
     /// Watches one request: deadline, silence, a caller who left.
-    pub(crate) fn watch(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
+    pub(crate) fn check_timeouts(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
         let claiming = matches!(request.phase, Phase::Claiming { .. });
-        let unsettled = claiming && now.since(request.arrived) >= self.limits.claim_wait;
+        let unsettled = claiming && now.since(request.arrived_at) >= self.limits.claim_wait;
         if request.deadline <= now || unsettled {
-            self.expire(now, key, out);
+            self.handle_deadline(now, key, out);
             return;
         }
         let call = matches!(request.work, Work::Call { .. });
@@ -172,15 +177,15 @@
         if call {
             return;
         }
-        if let Some(left) = run.left {
-            if now.since(left) >= self.limits.grace {
+        if let Some(disconnected_at) = run.disconnected_at {
+            if now.since(disconnected_at) >= self.limits.grace {
                 self.cancel(attempt, true, out);
                 self.finish(key, Outcome::MayHaveRun(MayHaveRun::StreamCut(0)), out);
                 self.dispatch(now, out);
             }
             return;
         }
-        if now.since(run.progress) >= self.limits.silence {
+        if now.since(run.last_progress) >= self.limits.silence {
             self.resume(now, attempt, out);
         }
     }
--- a/crates/decision/src/config.rs
+++ b/crates/decision/src/config.rs
@@ -40,8 +40,8 @@
     pub customers: SlotMap<customer::Key, customer::Customer>,
     items: Vec<Entry>,
     next: u64,
-    seen: bool,
-    unknown: u64,
+    loaded: bool,
+    skipped_records: u64,
 }
 
 impl Config {
@@ -54,12 +54,16 @@
             return ApplyResult::AlreadyApplied;
         }
         self.next = offset + 1;
-        self.seen = true;
+        self.loaded = true;
         if record.schema > SCHEMA {
-            self.unknown += 1;
+            self.skipped_records += 1;
             return ApplyResult::UnknownSchema;
         }
-        if let Some(change) = record.changes.iter().find(|change| !self.fits(change)) {
+        if let Some(change) = record
+            .changes
+            .iter()
+            .find(|change| !self.matches_version(change))
+        {
             return ApplyResult::Conflict {
                 item: change.item.clone(),
                 winner: self.version(&change.item),
@@ -77,7 +81,7 @@
     /// every instance that starts from it.
     #[must_use]
     pub const fn complete(&self) -> bool {
-        self.seen && self.unknown == 0
+        self.loaded && self.skipped_records == 0
     }
 
     /// The configuration with the offsets of its items.
@@ -101,34 +105,34 @@
         }
         let listed = snapshot.entries.iter().map(|entry| &entry.item);
         let listed = listed.cloned().collect::<Vec<_>>();
-        let gone = self
+        let removed = self
             .items
             .iter()
             .filter(|entry| !listed.contains(&entry.item));
-        for item in gone.map(|entry| entry.item.clone()).collect::<Vec<_>>() {
+        for item in removed.map(|entry| entry.item.clone()).collect::<Vec<_>>() {
             self.put(self.next, &item, None);
         }
         for entry in snapshot.entries {
             self.put(entry.offset, &entry.item, Some(&entry.body));
         }
         self.next = snapshot.next;
-        self.seen = true;
+        self.loaded = true;
         true
     }
 
     /// The customer that a credential acts for.
     #[must_use]
     pub fn customer(&self, credential: &[u8; 32]) -> Option<customer::Key> {
-        let place = self
+        let index = self
             .credentials
             .binary_search_by_key(&credential, |(hash, _)| hash)
             .ok()?;
-        Some(self.credentials[place].1)
+        Some(self.credentials[index].1)
     }
 
     /// Whether a failure domain was taken out.
     #[must_use]
-    pub fn out(&self, domain: &str) -> bool {
+    pub fn domain_out(&self, domain: &str) -> bool {
         matches!(self.get(Kind::Domain, domain), Some(Body::Domain(domain)) if domain.out)
     }
 
@@ -165,8 +169,8 @@
 
     /// Whether any record was read.
     #[must_use]
-    pub const fn seen(&self) -> bool {
-        self.seen
+    pub const fn is_loaded(&self) -> bool {
+        self.loaded
     }
 
     /// A plain service.
@@ -181,29 +185,29 @@
     /// Offset that last changed an item.
     #[must_use]
     pub fn version(&self, item: &Item) -> Option<u64> {
-        let place = self.place(item.kind, &item.name).ok()?;
-        Some(self.items[place].offset)
+        let index = self.search(item.kind, &item.name).ok()?;
+        Some(self.items[index].offset)
     }
 
     fn put(&mut self, offset: u64, item: &Item, body: Option<&Body>) {
-        let place = self.place(item.kind, &item.name);
+        let index = self.search(item.kind, &item.name);
         let Some(body) = body else {
-            if let Ok(place) = place {
-                let gone = self.items.remove(place);
-                self.drop_customer(gone.customer);
+            if let Ok(index) = index {
+                let removed = self.items.remove(index);
+                self.drop_customer(removed.customer);
             }
             return;
         };
-        let old = place.ok().and_then(|place| self.items[place].customer);
+        let old = index.ok().and_then(|index| self.items[index].customer);
         let entry = Entry {
             body: body.clone(),
             customer: self.put_customer(old, &item.name, body),
             item: item.clone(),
             offset,
         };
-        match place {
-            Ok(place) => self.items[place] = entry,
-            Err(place) => self.items.insert(place, entry),
+        match index {
+            Ok(index) => self.items[index] = entry,
+            Err(index) => self.items.insert(index, entry),
         }
     }
 
@@ -215,16 +219,16 @@
         self.credentials.retain(|(_, owner)| *owner != key);
     }
 
-    fn fits(&self, change: &Change) -> bool {
+    fn matches_version(&self, change: &Change) -> bool {
         self.version(&change.item) == change.replaces
     }
 
     fn get(&self, kind: Kind, name: &str) -> Option<&Body> {
-        let place = self.place(kind, name).ok()?;
-        Some(&self.items[place].body)
+        let index = self.search(kind, name).ok()?;
+        Some(&self.items[index].body)
     }
 
-    fn place(&self, kind: Kind, name: &str) -> Result<usize, usize> {
+    fn search(&self, kind: Kind, name: &str) -> Result<usize, usize> {
         self.items.binary_search_by(|entry| {
             (entry.item.kind, entry.item.name.as_str()).cmp(&(kind, name))
         })
@@ -258,8 +262,8 @@
             None => self.customers.insert(customer),
         };
         for hash in &body.credentials {
-            let place = self.credentials.partition_point(|(other, _)| other < hash);
-            self.credentials.insert(place, (*hash, key));
+            let index = self.credentials.partition_point(|(other, _)| other < hash);
+            self.credentials.insert(index, (*hash, key));
         }
         Some(key)
     }
--- a/crates/decision/src/customer.rs
+++ b/crates/decision/src/customer.rs
@@ -23,7 +23,7 @@
 impl Customer {
     /// Tokens served for each unit of weight, by which customers take turns.
     #[must_use]
-    pub fn share(&self) -> f64 {
+    pub fn served_per_weight(&self) -> f64 {
         self.served / self.weight
     }
 }
--- a/crates/decision/src/sending.rs
+++ b/crates/decision/src/dispatch.rs
@@ -1,16 +1,21 @@
 //! How requests are sent, and sent again.
 
-use crate::{invariant::Rule, prelude::*, request::Run, routing::Choice, state::ROOM_RETRY};
+use crate::{invariant::Rule, prelude::*, request::Run, routing::Choice, state::RETRY_AFTER};
 
 /// Most searches for an endpoint in one dispatch, so that no turn of the loop is long.
-const MOST_SEARCHES: usize = 64;
+const MAX_SEARCHES_PER_DISPATCH: usize = 64;
 
 impl State {
     /// Asserts what must hold of every send.
-    pub(crate) fn check_send(&mut self, now: Time, key: request::Key, endpoint: endpoint::Key) {
+    pub(crate) fn check_send_invariants(
+        &mut self,
+        now: Time,
+        key: request::Key,
+        endpoint: endpoint::Key,
+    ) {
         let target = &self.endpoints[endpoint];
         let usable = self.usable(now, target);
-        let cold = self.bears(target);
+        let quota_left = self.slow_start_allows(target);
         let request = &self.requests[key];
         let repeatable = !matches!(
             request.work,
@@ -34,7 +39,7 @@
             (_, None) => true,
         };
         self.invariants.check(Rule::OutGetsNothing, usable);
-        self.invariants.check(Rule::ColdLimit, cold);
+        self.invariants.check(Rule::ColdLimit, quota_left);
         self.invariants.check(Rule::SentOnce, once);
         self.invariants.check(Rule::ClaimHeld, held);
     }
@@ -47,35 +52,35 @@
         let order = self.backlog.ordered(&self.requests, &self.config);
         // A search that found no room is not made again for as much of the same: without
         // this, 64 drafts that wait for one model would hide every check behind them.
-        let mut full: Vec<(String, u64)> = Vec::new();
+        let mut saturated: Vec<(String, u64)> = Vec::new();
         let mut searches = 0;
         for key in order {
-            let (name, need) = self.demand(key);
-            let known = full
+            let (name, required_tokens) = self.demand(key);
+            let known = saturated
                 .iter()
-                .any(|(other, least)| *other == name && *least <= need);
+                .any(|(other, least)| *other == name && *least <= required_tokens);
             if known {
                 continue;
             }
             searches += 1;
-            if searches > MOST_SEARCHES {
+            if searches > MAX_SEARCHES_PER_DISPATCH {
                 break;
             }
             match self.choose(now, key) {
-                Choice::Go {
+                Choice::Send {
                     endpoint,
                     model,
-                    need,
-                } => self.send(now, key, endpoint, model, need, out),
-                Choice::Later => full.push((name, need)),
-                Choice::Never => self.give_up(key, Refusal::NoEndpoint, Some(ROOM_RETRY), out),
+                    required_tokens,
+                } => self.send(now, key, endpoint, model, required_tokens, out),
+                Choice::Wait => saturated.push((name, required_tokens)),
+                Choice::Reject => self.give_up(key, Refusal::NoEndpoint, Some(RETRY_AFTER), out),
             }
         }
         while self.backlog.len() > self.limits.queue {
             let Some(last) = self.backlog.ordered(&self.requests, &self.config).pop() else {
                 return;
             };
-            self.give_up(last, Refusal::QueueFull, Some(ROOM_RETRY), out);
+            self.give_up(last, Refusal::QueueFull, Some(RETRY_AFTER), out);
         }
     }
 
@@ -87,14 +92,14 @@
                 limit,
                 model,
                 prompt,
-            } => (model.clone(), self.need(model, *limit, *prompt)),
+            } => (model.clone(), self.required_tokens(model, *limit, *prompt)),
             Work::Resume { endpoint, .. } => (endpoint.clone(), 0),
         }
     }
 
     /// KV memory that a generation is expected to need, in tokens.
-    pub(crate) fn need(&self, model: &str, limit: u32, prompt: u32) -> u64 {
-        let expected = self.lengths.expected(&self.config, model);
+    pub(crate) fn required_tokens(&self, model: &str, limit: u32, prompt: u32) -> u64 {
+        let expected = self.output_lengths.expected(&self.config, model);
         u64::from(prompt) + u64::from(limit.min(expected))
     }
 
@@ -102,10 +107,10 @@
     ///
     /// It may have started anew and be cold; work sent by the old report in the
     /// meantime would throw it over.
-    pub(crate) fn doubt(&mut self, endpoint: endpoint::Key) {
+    pub(crate) fn discard_report(&mut self, endpoint: endpoint::Key) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.report = None;
-            endpoint.poll = Time::default();
+            endpoint.next_poll = Time::default();
         }
     }
 
@@ -119,7 +124,7 @@
     ) {
         let key = attempt.request;
         let request = &mut self.requests[key];
-        let phase = std::mem::replace(&mut request.phase, Phase::Moving);
+        let phase = std::mem::replace(&mut request.phase, Phase::Transition);
         let Phase::Running(run) = phase else {
             request.phase = phase;
             return;
@@ -130,16 +135,16 @@
         if evidence.is_some() {
             request.sends -= 1;
         }
-        request.tried = Some(run.endpoint);
+        request.last_endpoint = Some(run.endpoint);
         request.phase = Phase::Waiting {
             claim: run.claim,
             proof,
         };
         self.release(&run);
-        self.doubt(run.endpoint);
+        self.discard_report(run.endpoint);
         self.backlog.push(key);
-        if !self.budget.spend() {
-            self.give_up(key, Refusal::AllRefused, Some(ROOM_RETRY), out);
+        if !self.retry_budget.try_withdraw() {
+            self.give_up(key, Refusal::AllRefused, Some(RETRY_AFTER), out);
             return;
         }
         self.stats.retried += 1;
@@ -152,20 +157,21 @@
         key: request::Key,
         endpoint: endpoint::Key,
         model: Option<String>,
-        need: u64,
+        required_tokens: u64,
         out: &mut Vec<Action>,
     ) {
         self.backlog.remove(key);
-        self.check_send(now, key, endpoint);
+        self.check_send_invariants(now, key, endpoint);
         let generation = generation::Id(self.rng.random());
         let request = &mut self.requests[key];
-        let Phase::Waiting { claim, proof } = std::mem::replace(&mut request.phase, Phase::Moving)
+        let Phase::Waiting { claim, proof } =
+            std::mem::replace(&mut request.phase, Phase::Transition)
         else {
             return;
         };
         if let Some(proof) = proof {
             proof.send();
-            self.budget.earn();
+            self.retry_budget.deposit();
         }
         request.sends += 1;
         let wait = request.deadline.since(now);
@@ -173,15 +179,15 @@
             claim,
             endpoint,
             generation,
-            left: None,
+            disconnected_at: None,
             next: 0,
-            progress: now,
-            promised: need,
+            last_progress: now,
+            reserved_tokens: required_tokens,
             resumes: 0,
         });
         let target = &mut self.endpoints[endpoint];
         target.running += 1;
-        target.promised += need;
+        target.reserved_tokens += required_tokens;
         self.stats.sent += 1;
         out.push(Action::Send {
             attempt: Attempt {
--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -56,25 +56,25 @@
     /// Digest of the name.
     pub digest: u64,
     /// Whether it lies in this instance's windows.
-    pub mine: bool,
+    pub in_subset: bool,
     /// What the instance list says.
     pub member: Member,
     /// When the next load report is to be asked for.
-    pub poll: Time,
+    pub next_poll: Time,
     /// Memory promised to own dispatches that the report cannot know yet.
-    pub promised: u64,
+    pub reserved_tokens: u64,
     /// The last report, if one came since the endpoint was last reachable.
     pub report: Option<Report>,
     /// When that report came.
-    pub reported: Time,
+    pub reported_at: Time,
     /// Own requests that are at the endpoint now.
     pub running: u32,
     /// When the start now known was first seen.
-    pub seen: Time,
+    pub incarnation_seen_at: Time,
     /// When this instance last tried to take that start.
-    pub proposed: Option<Time>,
+    pub proposed_at: Option<Time>,
     /// Whether this instance has given its part away.
-    pub yielding: bool,
+    pub quota_transferred: bool,
 }
 
 impl Endpoint {
@@ -83,16 +83,16 @@
     pub fn new(member: Member, now: Time) -> Self {
         Self {
             digest: digest(&member.name),
-            mine: true,
+            in_subset: true,
             member,
-            poll: Time::from_micros(0),
-            promised: 0,
+            next_poll: Time::from_micros(0),
+            reserved_tokens: 0,
             report: None,
-            reported: Time::from_micros(0),
+            reported_at: Time::from_micros(0),
             running: 0,
-            seen: now,
-            proposed: None,
-            yielding: false,
+            incarnation_seen_at: now,
+            proposed_at: None,
+            quota_transferred: false,
         }
     }
 
@@ -115,12 +115,13 @@
 
     /// KV memory left as far as is known, in tokens.
     #[must_use]
-    pub fn free(&self) -> i64 {
+    pub fn free_tokens(&self) -> i64 {
         let Some(report) = &self.report else {
             return 0;
         };
         let free = report.capacity.saturating_sub(report.used);
-        i64::try_from(free).unwrap_or(i64::MAX) - i64::try_from(self.promised).unwrap_or(i64::MAX)
+        i64::try_from(free).unwrap_or(i64::MAX)
+            - i64::try_from(self.reserved_tokens).unwrap_or(i64::MAX)
     }
 
     /// Whether it serves `model`, by its last report.
@@ -133,18 +134,18 @@
     }
 
     /// Takes a report in.
-    pub fn take(&mut self, now: Time, report: Report) {
-        let anew = self
+    pub fn apply_report(&mut self, now: Time, report: Report) {
+        let restarted = self
             .report
             .as_ref()
             .is_none_or(|old| old.incarnation != report.incarnation);
-        if anew {
-            self.proposed = None;
-            self.seen = now;
-            self.yielding = false;
+        if restarted {
+            self.proposed_at = None;
+            self.incarnation_seen_at = now;
+            self.quota_transferred = false;
         }
-        self.promised = 0;
+        self.reserved_tokens = 0;
         self.report = Some(report);
-        self.reported = now;
+        self.reported_at = now;
     }
 }
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -9,13 +9,13 @@
 use crate::{event::Peer, prelude::*, routing::rendezvous};
 
 /// Bytes of records kept to hand on.
-const MOST_KEPT: usize = 8 << 20;
+const MAX_HISTORY_BYTES: usize = 8 << 20;
 
 /// Bytes of records handed over at once.
-const MOST_HANDED: usize = 64 << 10;
+const MAX_REPLY_BYTES: usize = 64 << 10;
 
 /// Fellows in other failure domains that are asked in turn.
-const FINGERS: usize = 4;
+const MAX_REMOTE_PEERS: usize = 4;
 
 /// How far an instance has read the configuration.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -54,16 +54,16 @@
 #[derive(Debug, Default)]
 pub struct History {
     bytes: usize,
-    kept: VecDeque<(u64, Bytes)>,
+    records: VecDeque<(u64, Bytes)>,
 }
 
 impl History {
     /// Keeps a record, letting go of the oldest ones over the bound.
     pub fn push(&mut self, offset: u64, data: Bytes) {
         self.bytes += data.len();
-        self.kept.push_back((offset, data));
-        while self.bytes > MOST_KEPT {
-            let Some((_, data)) = self.kept.pop_front() else {
+        self.records.push_back((offset, data));
+        while self.bytes > MAX_HISTORY_BYTES {
+            let Some((_, data)) = self.records.pop_front() else {
                 return;
             };
             self.bytes -= data.len();
@@ -73,35 +73,36 @@
     /// Forgets everything, after a start from a snapshot.
     pub fn clear(&mut self) {
         self.bytes = 0;
-        self.kept.clear();
+        self.records.clear();
     }
 
     /// Whether `next` lies before everything kept, so that only a snapshot helps.
     #[must_use]
     pub fn needs_snapshot(&self, next: u64, own: u64) -> bool {
-        let first = self.kept.front().map_or(own, |(offset, _)| *offset);
+        let first = self.records.front().map_or(own, |(offset, _)| *offset);
         next < first
     }
 
     /// Records from `next` on, as many as fit into a message; none if `next` is not kept.
     #[must_use]
     pub fn records_from(&self, next: u64) -> Vec<(u64, Bytes)> {
-        let first = self.kept.partition_point(|(offset, _)| *offset < next);
-        let begins = self
-            .kept
+        let first = self.records.partition_point(|(offset, _)| *offset < next);
+        let available = self
+            .records
             .get(first)
             .is_some_and(|(offset, _)| *offset == next);
-        if !begins {
+        if !available {
             return Vec::new();
         }
         let mut bytes = 0;
-        let kept = self.kept.iter().skip(first);
-        kept.take_while(|(_, data)| {
-            bytes += data.len();
-            bytes <= MOST_HANDED
-        })
-        .cloned()
-        .collect()
+        let records = self.records.iter().skip(first);
+        records
+            .take_while(|(_, data)| {
+                bytes += data.len();
+                bytes <= MAX_REPLY_BYTES
+            })
+            .cloned()
+            .collect()
     }
 }
 
@@ -116,43 +117,48 @@
     }
 
     /// Takes in what a fellow instance said.
-    pub(crate) fn heard(&mut self, now: Time, heard: PeerUpdate, out: &mut Vec<Action>) {
-        if let Some(snapshot) = heard.snapshot {
+    pub(crate) fn apply_peer_update(
+        &mut self,
+        now: Time,
+        update: PeerUpdate,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(snapshot) = update.snapshot {
             self.restore(now, snapshot, out);
         }
-        for record in heard.records {
-            self.configure(now, record, out);
+        for record in update.records {
+            self.apply_config_record(now, record, out);
         }
-        let Some(age) = heard.watermark.age else {
+        let Some(age) = update.watermark.age else {
             return;
         };
         // The fellow knew all there was `age` before it answered; once this
         // instance has as much, it knew all there was at that time, too.
-        if self.config.next() >= heard.watermark.next {
-            self.config_read_at(heard.asked.before(age));
+        if self.config.next() >= update.watermark.next {
+            self.mark_config_current(update.asked.before(age));
         }
     }
 
     /// The fellows to ask now.
-    pub(crate) fn fellows(&self, round: u64) -> Vec<&Peer> {
-        let mut fellows = Vec::new();
-        fellows.extend(self.neighbour());
-        let mut fingers = self
+    pub(crate) fn gossip_peers(&self, round: u64) -> Vec<&Peer> {
+        let mut selected = Vec::new();
+        selected.extend(self.next_local_peer());
+        let mut remote_peers = self
             .peers
             .iter()
             .filter(|peer| peer.domain != self.domain)
             .collect::<Vec<_>>();
-        fingers.sort_by_cached_key(|peer| rendezvous(&self.name, &peer.name));
-        fingers.truncate(FINGERS);
-        if !fingers.is_empty() {
-            let turn = usize::try_from(round % fingers.len() as u64).unwrap_or(0);
-            fellows.push(fingers[turn]);
+        remote_peers.sort_by_cached_key(|peer| rendezvous(&self.name, &peer.name));
+        remote_peers.truncate(MAX_REMOTE_PEERS);
+        if !remote_peers.is_empty() {
+            let index = usize::try_from(round % remote_peers.len() as u64).unwrap_or(0);
+            selected.push(remote_peers[index]);
         }
-        fellows
+        selected
     }
 
     /// The next instance of the own failure domain, in a ring by name.
-    fn neighbour(&self) -> Option<&Peer> {
+    fn next_local_peer(&self) -> Option<&Peer> {
         let own = || {
             let peers = self.peers.iter();
             peers.filter(|peer| peer.domain == self.domain && peer.name != self.name)
--- a/crates/decision/src/reading.rs
+++ b/crates/decision/src/ingest.rs
@@ -4,32 +4,37 @@
 
 impl State {
     /// The configuration was known to be complete at `at`.
-    pub(crate) fn config_read_at(&mut self, at: Time) {
-        self.config_read = self.config_read.max(Some(at));
+    pub(crate) fn mark_config_current(&mut self, at: Time) {
+        self.config_read_at = self.config_read_at.max(Some(at));
     }
 
     /// Takes a configuration record in, from the log or from a fellow instance.
     ///
     /// Records are applied without gaps: a fellow may hand over later ones first.
-    pub(crate) fn configure(&mut self, now: Time, line: ConfigRecord, out: &mut Vec<Action>) {
-        let before = self.config.next();
-        if line.offset != before {
+    pub(crate) fn apply_config_record(
+        &mut self,
+        now: Time,
+        record: ConfigRecord,
+        out: &mut Vec<Action>,
+    ) {
+        let expected = self.config.next();
+        if record.offset != expected {
             return;
         }
-        self.config.apply(line.offset, &line.record);
-        self.history.push(line.offset, line.data);
+        self.config.apply(record.offset, &record.record);
+        self.history.push(record.offset, record.data);
         self.invariants
-            .check(Rule::ConfigForward, self.config.next() > before);
+            .check(Rule::ConfigForward, self.config.next() > expected);
         self.dispatch(now, out);
     }
 
-    pub(crate) fn read_claims(&mut self, now: Time, batches: Vec<Batch>, out: &mut Vec<Action>) {
+    pub(crate) fn apply_claims(&mut self, now: Time, batches: Vec<Batch>, out: &mut Vec<Action>) {
         for batch in batches {
             for entry in &batch.entries {
                 match entry {
                     batch::Entry::Claim(entry) => {
                         self.claims.apply(entry, batch.instance);
-                        self.settle(now, entry.key(), out);
+                        self.resolve_order(now, entry.key(), out);
                     }
                     batch::Entry::SlowStart(entry) => self.apply_slow_start(entry, batch.instance),
                 }
@@ -46,7 +51,7 @@
         }
         let endpoints = self.endpoints.values_mut();
         for endpoint in endpoints.filter(|endpoint| endpoint.digest == entry.endpoint) {
-            endpoint.yielding = false;
+            endpoint.quota_transferred = false;
         }
     }
 }
--- a/crates/decision/src/membership.rs
+++ b/crates/decision/src/membership.rs
@@ -10,11 +10,11 @@
 
 impl State {
     /// Whether the instance with this digest of its name is in the list, or is this one.
-    pub(crate) fn alive(&self, instance: u64) -> bool {
-        instance == self.digest || self.live.binary_search(&instance).is_ok()
+    pub(crate) fn is_live(&self, instance: u64) -> bool {
+        instance == self.digest || self.live_instances.binary_search(&instance).is_ok()
     }
 
-    pub(crate) fn listed(
+    pub(crate) fn apply_instance_list(
         &mut self,
         now: Time,
         mut members: Vec<Member>,
@@ -23,9 +23,9 @@
     ) {
         members.sort();
         peers.sort();
-        let mut names = Vec::with_capacity(members.len());
+        let mut endpoint_names = Vec::with_capacity(members.len());
         for member in members {
-            let old = self.named(&member.name);
+            let old = self.endpoint_by_name(&member.name);
             let key = match old {
                 Some(key) if self.endpoints[key].member.address == member.address => {
                     self.endpoints[key].member = member.clone();
@@ -33,11 +33,14 @@
                 }
                 _ => self.endpoints.insert(Endpoint::new(member.clone(), now)),
             };
-            names.push((member.name, key));
+            endpoint_names.push((member.name, key));
         }
-        let mut kept = names.iter().map(|(_, key)| *key).collect::<Vec<_>>();
+        let mut kept = endpoint_names
+            .iter()
+            .map(|(_, key)| *key)
+            .collect::<Vec<_>>();
         kept.sort_unstable();
-        self.names = names;
+        self.endpoint_names = endpoint_names;
         // An endpoint that is no longer listed gets no new work, but the requests that
         // are there still belong to it.
         for (key, endpoint) in &mut self.endpoints {
@@ -45,30 +48,30 @@
         }
         self.endpoints
             .retain(|key, endpoint| kept.binary_search(&key).is_ok() || endpoint.running > 0);
-        self.live = peers.iter().map(|peer| digest(&peer.name)).collect();
-        self.live.sort_unstable();
+        self.live_instances = peers.iter().map(|peer| digest(&peer.name)).collect();
+        self.live_instances.sort_unstable();
         self.peers = peers;
-        self.lay_windows();
-        self.settle_orphans(out);
+        self.update_subset();
+        self.finish_orphaned_orders(out);
         self.dispatch(now, out);
     }
 
     /// The endpoint of this name.
-    pub(crate) fn named(&self, name: &str) -> Option<endpoint::Key> {
-        let place = self
-            .names
+    pub(crate) fn endpoint_by_name(&self, name: &str) -> Option<endpoint::Key> {
+        let index = self
+            .endpoint_names
             .binary_search_by(|(other, _)| other.as_str().cmp(name))
             .ok()?;
-        Some(self.names[place].1)
+        Some(self.endpoint_names[index].1)
     }
 
-    pub(crate) fn poll(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn poll_endpoints(&mut self, now: Time, out: &mut Vec<Action>) {
         for (key, endpoint) in &mut self.endpoints {
-            let polled = endpoint.mine && endpoint.member.kind == Kind::Engine;
-            if !polled || endpoint.poll > now {
+            let is_polled = endpoint.in_subset && endpoint.member.kind == Kind::Engine;
+            if !is_polled || endpoint.next_poll > now {
                 continue;
             }
-            endpoint.poll = now.after(self.limits.poll_interval);
+            endpoint.next_poll = now.after(self.limits.poll_interval);
             out.push(Action::Poll(key));
         }
     }
@@ -78,10 +81,10 @@
             return;
         };
         endpoint.running = endpoint.running.saturating_sub(1);
-        endpoint.promised = endpoint.promised.saturating_sub(run.promised);
+        endpoint.reserved_tokens = endpoint.reserved_tokens.saturating_sub(run.reserved_tokens);
     }
 
-    pub(crate) fn reported(
+    pub(crate) fn apply_report(
         &mut self,
         now: Time,
         key: endpoint::Key,
@@ -89,7 +92,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.take(now, report);
+            endpoint.apply_report(now, report);
         }
         self.dispatch(now, out);
     }
--- a/crates/decision/src/proposal.rs
+++ b/crates/decision/src/proposal.rs
@@ -28,7 +28,7 @@
             return;
         };
         let slot = self.slow_start.get(endpoint.digest);
-        let Some(slot) = slot.filter(|slot| !slot.served_enough()) else {
+        let Some(slot) = slot.filter(|slot| !slot.proven()) else {
             return;
         };
         self.appends.push(batch::Entry::SlowStart(Entry {
@@ -45,7 +45,7 @@
     pub(crate) fn track_absent_instances(&mut self, now: Time) {
         let cold = self.slow_start.cold();
         let owners = cold.flat_map(|slot| slot.quotas.iter().map(|quota| quota.instance));
-        let missing = owners.filter(|owner| !self.alive(*owner));
+        let missing = owners.filter(|owner| !self.is_live(*owner));
         let mut absent = Vec::new();
         for owner in missing {
             let known = self.absent_since.iter().find(|(other, _)| *other == owner);
@@ -63,9 +63,9 @@
     pub(crate) fn propose_slow_start(&mut self, now: Time) {
         let mut proposals = Vec::new();
         for (key, endpoint) in &self.endpoints {
-            if !endpoint.mine
+            if !endpoint.in_subset
                 || endpoint
-                    .proposed
+                    .proposed_at
                     .is_some_and(|at| now.since(at) < PROPOSAL_RETRY_INTERVAL)
             {
                 continue;
@@ -87,11 +87,11 @@
         }
         for (key, entry) in proposals {
             let endpoint = &mut self.endpoints[key];
-            endpoint.proposed = Some(now);
+            endpoint.proposed_at = Some(now);
             // The quota belongs to the other instance as soon as the entry is in the log,
             // which is before it is read here; a request sent until then would exceed the
             // limit.
-            endpoint.yielding |= matches!(entry.kind, Kind::TransferQuota { .. });
+            endpoint.quota_transferred |= matches!(entry.kind, Kind::TransferQuota { .. });
             self.appends.push(batch::Entry::SlowStart(entry));
         }
     }
@@ -103,12 +103,8 @@
         match current {
             None => self.propose_initialize(now, endpoint, slot),
             Some(slot) if slot.warm => None,
-            Some(slot) if slot.served_enough() && self.cold_time_elapsed(now, endpoint) => {
-                Some(Kind::Warm)
-            }
-            Some(slot) if endpoint.running >= slot.quota(self.digest) => {
-                self.propose_quota(now, slot)
-            }
+            Some(slot) if slot.proven() && self.cold_time_over(now, endpoint) => Some(Kind::Warm),
+            Some(slot) if endpoint.running >= slot.quota(self.digest) => self.seek_quota(now, slot),
             Some(slot) if endpoint.running == 0 && self.backlog.is_empty() => {
                 let to = *slot.quota_requests.first()?;
                 Some(Kind::TransferQuota { to })
@@ -118,13 +114,13 @@
     }
 
     /// Whether the endpoint's cold time has passed since this instance first saw the incarnation.
-    fn cold_time_elapsed(&self, now: Time, endpoint: &Endpoint) -> bool {
+    fn cold_time_over(&self, now: Time, endpoint: &Endpoint) -> bool {
         let facts = self.config.facts(&endpoint.member.name);
-        now.since(endpoint.seen) >= facts.cold_time
+        now.since(endpoint.incarnation_seen_at) >= facts.cold_time
     }
 
     /// Acquires free quota or that of a dead instance, or else requests one from the others.
-    fn propose_quota(&self, now: Time, slot: &Slot) -> Option<Kind> {
+    fn seek_quota(&self, now: Time, slot: &Slot) -> Option<Kind> {
         if self.draining {
             return None;
         }
@@ -155,13 +151,13 @@
         slot: Option<&Slot>,
     ) -> Option<Kind> {
         let due = endpoint
-            .seen
+            .incarnation_seen_at
             .after(STAGGER_DELAY * self.rank(&endpoint.member.name));
         if self.draining || endpoint.leaving() || now < due {
             return None;
         }
         let limit = self.config.facts(&endpoint.member.name).cold_limit;
-        let instances = self.covering(endpoint);
+        let instances = self.instances_with(endpoint);
         let quotas = initial_quotas(limit, &instances);
         Some(Kind::Initialize {
             expected: slot.map(|slot| slot.holder),
--- a/crates/decision/src/request.rs
+++ b/crates/decision/src/request.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct Request {
     /// When it arrived.
-    pub arrived: Time,
+    pub arrived_at: Time,
     /// The customer it is served for.
     pub customer: customer::Key,
     /// When the caller stops waiting.
@@ -21,7 +21,7 @@
     /// Sends that are not proven to have reached nobody.
     pub sends: u32,
     /// Endpoint tried last, avoided by the next try.
-    pub tried: Option<endpoint::Key>,
+    pub last_endpoint: Option<endpoint::Key>,
     /// What is asked for.
     pub work: Work,
 }
@@ -48,11 +48,11 @@
         proof: Unsent,
     },
     /// It is between two phases; never seen from outside a step.
-    Moving,
+    Transition,
     /// It is at an endpoint.
     Running(Run),
     /// Another request with the same key is in progress.
-    Sharing(Unsent),
+    Coalesced(Unsent),
     /// It waits for an endpoint.
     Waiting {
         /// The claim it holds, for an order.
@@ -72,13 +72,13 @@
     /// The attempt.
     pub generation: generation::Id,
     /// When the caller left, if it did.
-    pub left: Option<Time>,
+    pub disconnected_at: Option<Time>,
     /// Index of the next token to deliver.
     pub next: u32,
     /// When the last token or answer byte came.
-    pub progress: Time,
+    pub last_progress: Time,
     /// Memory promised for it at the endpoint.
-    pub promised: u64,
+    pub reserved_tokens: u64,
     /// Connections opened again without progress in between.
     pub resumes: u32,
 }
--- a/crates/decision/src/routing.rs
+++ b/crates/decision/src/routing.rs
@@ -3,24 +3,24 @@
 use crate::{endpoint::Kind, prelude::*};
 
 /// Part of the KV memory that may be promised, in hundredths.
-const MEMORY_PERCENT: i64 = 92;
+const MAX_RESERVED_MEMORY_PERCENT: i64 = 92;
 
 /// Where a request can go now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
     /// To this endpoint, as this model version, with this much memory promised.
-    Go {
+    Send {
         /// The endpoint.
         endpoint: endpoint::Key,
         /// The model version, for a generation.
         model: Option<String>,
         /// KV memory it is expected to need, in tokens.
-        need: u64,
+        required_tokens: u64,
     },
     /// Nowhere before something changes.
-    Later,
+    Wait,
     /// Nowhere, and no endpoint in sight could take it.
-    Never,
+    Reject,
 }
 
 impl State {
@@ -28,16 +28,17 @@
     pub(crate) fn choose(&mut self, now: Time, request: request::Key) -> Choice {
         let request = &self.requests[request];
         match &request.work {
-            Work::Call { service, .. } => self.choose_service(now, service, request.tried),
+            Work::Call { service, .. } => self.choose_service(now, service, request.last_endpoint),
             Work::Generation {
                 limit,
                 model,
                 prompt,
             } => {
-                let (limit, prompt, model, tried) = (*limit, *prompt, model.clone(), request.tried);
-                self.choose_engine(now, &model, limit, prompt, tried)
+                let (limit, prompt, model, last_endpoint) =
+                    (*limit, *prompt, model.clone(), request.last_endpoint);
+                self.choose_engine(now, &model, limit, prompt, last_endpoint)
             }
-            Work::Resume { .. } => Choice::Never,
+            Work::Resume { .. } => Choice::Reject,
         }
     }
 
@@ -48,21 +49,24 @@
     /// endpoints that are about to be switched off. Only the own failure domain
     /// is served then, whose operators can be seen from here.
     pub(crate) fn usable(&self, now: Time, endpoint: &Endpoint) -> bool {
-        if !endpoint.mine || endpoint.leaving() || self.config.out(&endpoint.member.domain) {
+        if !endpoint.in_subset
+            || endpoint.leaving()
+            || self.config.domain_out(&endpoint.member.domain)
+        {
             return false;
         }
-        self.fresh(now) || endpoint.member.domain == self.domain
+        self.config_fresh(now) || endpoint.member.domain == self.domain
     }
 
     /// Whether an endpoint bears one more request of this instance.
     ///
     /// Warm by the log: yes. Cold: only up to this instance's part of its limit.
-    pub(crate) fn bears(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn slow_start_allows(&self, endpoint: &Endpoint) -> bool {
         let Some(slot) = self.slow_start.get(endpoint.digest) else {
             return false;
         };
         let current = endpoint.incarnation() == Some(slot.holder.incarnation);
-        let quota = if endpoint.yielding {
+        let quota = if endpoint.quota_transferred {
             0
         } else {
             slot.quota(self.digest)
@@ -75,7 +79,7 @@
     pub fn available_endpoints(&self, now: Time) -> usize {
         let listed = self.endpoints.values();
         listed
-            .filter(|endpoint| self.usable(now, endpoint) && self.bears(endpoint))
+            .filter(|endpoint| self.usable(now, endpoint) && self.slow_start_allows(endpoint))
             .count()
     }
 
@@ -85,70 +89,80 @@
         model: &str,
         limit: u32,
         prompt: u32,
-        tried: Option<endpoint::Key>,
+        last_endpoint: Option<endpoint::Key>,
     ) -> Choice {
-        let Some(version) = self.version(model) else {
-            return Choice::Never;
+        let Some(version) = self.choose_version(model) else {
+            return Choice::Reject;
         };
-        let need = self.need(model, limit, prompt);
+        let required_tokens = self.required_tokens(model, limit, prompt);
         let mut best = None;
-        let mut seen = false;
+        let mut any_usable = false;
         for (key, endpoint) in &self.endpoints {
-            if !self.usable(now, endpoint) || !endpoint.serves(&version) || tried == Some(key) {
+            if !self.usable(now, endpoint)
+                || !endpoint.serves(&version)
+                || last_endpoint == Some(key)
+            {
                 continue;
             }
-            seen = true;
+            any_usable = true;
             let capacity = endpoint.report.as_ref().map_or(0, |report| report.capacity);
-            let free = room(endpoint.free(), capacity);
-            if !self.bears(endpoint) || free < i64::try_from(need).unwrap_or(i64::MAX) {
+            let free = available_tokens(endpoint.free_tokens(), capacity);
+            if !self.slow_start_allows(endpoint)
+                || free < i64::try_from(required_tokens).unwrap_or(i64::MAX)
+            {
                 continue;
             }
             if best.is_none_or(|(most, _)| free > most) {
                 best = Some((free, key));
             }
         }
-        match (best, seen) {
-            (Some((_, endpoint)), _) => Choice::Go {
+        match (best, any_usable) {
+            (Some((_, endpoint)), _) => Choice::Send {
                 endpoint,
                 model: Some(version),
-                need,
+                required_tokens,
             },
-            (None, true) => Choice::Later,
-            (None, false) => Choice::Never,
+            (None, true) => Choice::Wait,
+            (None, false) => Choice::Reject,
         }
     }
 
-    fn choose_service(&self, now: Time, service: &str, tried: Option<endpoint::Key>) -> Choice {
+    fn choose_service(
+        &self,
+        now: Time,
+        service: &str,
+        last_endpoint: Option<endpoint::Key>,
+    ) -> Choice {
         let mut best = None;
-        let mut seen = false;
+        let mut any_usable = false;
         for (key, endpoint) in &self.endpoints {
             let Kind::Service(name) = &endpoint.member.kind else {
                 continue;
             };
-            if name != service || !self.usable(now, endpoint) || tried == Some(key) {
+            if name != service || !self.usable(now, endpoint) || last_endpoint == Some(key) {
                 continue;
             }
-            seen = true;
-            if !self.bears(endpoint) {
+            any_usable = true;
+            if !self.slow_start_allows(endpoint) {
                 continue;
             }
             if best.is_none_or(|(least, _)| endpoint.running < least) {
                 best = Some((endpoint.running, key));
             }
         }
-        match (best, seen) {
-            (Some((_, endpoint)), _) => Choice::Go {
+        match (best, any_usable) {
+            (Some((_, endpoint)), _) => Choice::Send {
                 endpoint,
                 model: None,
-                need: 0,
+                required_tokens: 0,
             },
-            (None, true) => Choice::Later,
-            (None, false) => Choice::Never,
+            (None, true) => Choice::Wait,
+            (None, false) => Choice::Reject,
         }
     }
 
     /// Draws a model version of a route by the published shares.
-    fn version(&mut self, model: &str) -> Option<String> {
+    fn choose_version(&mut self, model: &str) -> Option<String> {
         let route = self.config.route(model)?;
         let total = route
             .versions
@@ -185,7 +199,7 @@
     u64::from_le_bytes(*first)
 }
 
-fn room(free: i64, capacity: u64) -> i64 {
+fn available_tokens(free: i64, capacity: u64) -> i64 {
     let capacity = i64::try_from(capacity).unwrap_or(i64::MAX / 100);
-    free - capacity.saturating_mul(100 - MEMORY_PERCENT) / 100
+    free - capacity.saturating_mul(100 - MAX_RESERVED_MEMORY_PERCENT) / 100
 }
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -105,7 +105,7 @@
 
     /// Whether it has answered enough requests to be declared warm.
     #[must_use]
-    pub const fn served_enough(&self) -> bool {
+    pub const fn proven(&self) -> bool {
         self.served.len() >= MIN_SERVED_REQUESTS
     }
 
@@ -117,7 +117,7 @@
     }
 
     fn record_served(&mut self, request: u128) {
-        if !self.served_enough() && !self.served.contains(&request) {
+        if !self.proven() && !self.served.contains(&request) {
             self.served.push(request);
         }
     }
--- a/crates/decision/src/snapshot.rs
+++ b/crates/decision/src/snapshot.rs
@@ -14,16 +14,16 @@
 };
 
 /// Longest time that each rank waits for the one before it.
-const MOST_STEP: Duration = Duration::from_secs(10);
+const MAX_RANK_DELAY: Duration = Duration::from_secs(10);
 
 /// Parts of the interval that a rank waits, unless that is longer.
-const STEPS: u32 = 8;
+const RANK_DELAY_DIVISOR: u32 = 8;
 
 /// Time before a failed snapshot is tried again.
-const AGAIN: Duration = Duration::from_mins(1);
+const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_mins(1);
 
 /// Most ranks that are waited for.
-const MOST_RANKS: u32 = 30;
+const MAX_RANK: u32 = 30;
 
 /// The configuration as of an offset.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -55,31 +55,34 @@
     }
 
     /// A snapshot of some instance was seen in the log.
-    pub(crate) fn snapshot_seen(&mut self, at: Wall) {
-        self.snapshot_at = self.snapshot_at.max(Some(at));
+    pub(crate) fn record_snapshot_seen(&mut self, at: Wall) {
+        self.last_snapshot_at = self.last_snapshot_at.max(Some(at));
     }
 
     /// Appends a snapshot if one is due.
-    pub(crate) fn snapshot(&mut self, now: Time, wall: Wall, out: &mut Vec<Action>) {
-        let begun = *self.begun.get_or_insert(wall);
-        if self.draining || !self.config.complete() || now < self.snapshot_again {
+    pub(crate) fn append_snapshot_if_due(&mut self, now: Time, wall: Wall, out: &mut Vec<Action>) {
+        let started_at = *self.started_at.get_or_insert(wall);
+        if self.draining || !self.config.complete() || now < self.next_snapshot_attempt {
             return;
         }
-        let step = MOST_STEP.min(self.limits.snapshot_interval / STEPS);
-        let wait = step * self.snapshot_rank();
-        let due = match self.snapshot_at {
-            None => begun.plus(wait + step),
+        let rank_delay = MAX_RANK_DELAY.min(self.limits.snapshot_interval / RANK_DELAY_DIVISOR);
+        let wait = rank_delay * self.snapshot_rank();
+        let due = match self.last_snapshot_at {
+            None => started_at.plus(wait + rank_delay),
             Some(at) => at.plus(self.limits.snapshot_interval + wait),
         };
         if wall < due {
             return;
         }
-        self.snapshot_again = now.after(AGAIN.min(self.limits.snapshot_interval));
+        self.next_snapshot_attempt =
+            now.after(SNAPSHOT_RETRY_INTERVAL.min(self.limits.snapshot_interval));
         out.push(Action::Snapshot(self.config.snapshot()));
     }
 
     fn snapshot_rank(&self) -> u32 {
-        let ahead = self.live.partition_point(|digest| *digest < self.digest);
-        u32::try_from(ahead).unwrap_or(MOST_RANKS).min(MOST_RANKS)
+        let ahead = self
+            .live_instances
+            .partition_point(|digest| *digest < self.digest);
+        u32::try_from(ahead).unwrap_or(MAX_RANK).min(MAX_RANK)
     }
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -6,7 +6,7 @@
 };
 
 /// When to come back after a refusal for want of room.
-pub(crate) const ROOM_RETRY: Duration = Duration::from_secs(1);
+pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The state of one entry instance, owned by its one loop.
 #[derive(Debug)]
@@ -14,11 +14,11 @@
     /// Requests that wait for an endpoint.
     pub backlog: Backlog,
     /// Entries on their way into the claim stream.
-    pub appends: crate::batch::Queue,
+    pub appends: crate::batch::AppendQueue,
     /// What second tries may spend.
-    pub budget: Budget,
+    pub retry_budget: RetryBudget,
     /// Claims, as far as the log was read.
-    pub claims: Table,
+    pub claims: ClaimTable,
     /// Configuration in force.
     pub config: Config,
     /// Name of the own failure domain.
@@ -37,17 +37,17 @@
     pub requests: SlotMap<request::Key, Request>,
     /// Counters.
     pub stats: Stats,
-    pub(crate) claims_read: Option<Time>,
-    pub(crate) config_read: Option<Time>,
-    pub(crate) lengths: Lengths,
-    pub(crate) live: Vec<u64>,
+    pub(crate) claims_read_at: Option<Time>,
+    pub(crate) config_read_at: Option<Time>,
+    pub(crate) output_lengths: OutputLengths,
+    pub(crate) live_instances: Vec<u64>,
     pub(crate) absent_since: Vec<(u64, Time)>,
-    pub(crate) begun: Option<Wall>,
-    pub(crate) snapshot_again: Time,
-    pub(crate) snapshot_at: Option<Wall>,
-    pub(crate) gossip: Time,
-    pub(crate) names: Vec<(String, endpoint::Key)>,
-    pub(crate) round: u64,
+    pub(crate) started_at: Option<Wall>,
+    pub(crate) next_snapshot_attempt: Time,
+    pub(crate) last_snapshot_at: Option<Wall>,
+    pub(crate) next_gossip: Time,
+    pub(crate) endpoint_names: Vec<(String, endpoint::Key)>,
+    pub(crate) gossip_round: u64,
     /// Whether this instance is about to stop.
     pub draining: bool,
     /// Configuration records kept for fellow instances.
@@ -65,33 +65,33 @@
     pub fn new(name: &str, domain: &str, limits: Limits, seed: u64) -> Self {
         Self {
             backlog: Backlog::default(),
-            appends: crate::batch::Queue::default(),
-            budget: Budget::new(limits.retry_percent, 20),
-            claims: Table::default(),
-            claims_read: None,
+            appends: crate::batch::AppendQueue::default(),
+            retry_budget: RetryBudget::new(limits.retry_percent, 20),
+            claims: ClaimTable::default(),
+            claims_read_at: None,
             config: Config::default(),
-            config_read: None,
+            config_read_at: None,
             digest: digest(name),
             domain: domain.to_string(),
             draining: false,
             endpoints: SlotMap::default(),
-            gossip: Time::default(),
+            next_gossip: Time::default(),
             history: History::default(),
             invariants: Invariants::default(),
-            lengths: Lengths::default(),
+            output_lengths: OutputLengths::default(),
             limits,
-            live: Vec::new(),
+            live_instances: Vec::new(),
             absent_since: Vec::new(),
-            begun: None,
-            snapshot_again: Time::default(),
-            snapshot_at: None,
+            started_at: None,
+            next_snapshot_attempt: Time::default(),
+            last_snapshot_at: None,
             name: name.to_string(),
-            names: Vec::new(),
+            endpoint_names: Vec::new(),
             orders: Vec::new(),
             peers: Vec::new(),
             requests: SlotMap::default(),
             rng: StdRng::seed_from_u64(seed),
-            round: 0,
+            gossip_round: 0,
             stats: Stats::default(),
             slow_start: SlowStart::default(),
         }
@@ -106,9 +106,9 @@
         out: &mut Vec<Action>,
     ) -> request::Key {
         let customer = self.config.customer(&arrival.credential);
-        self.lift(customer);
+        self.raise_served_floor(customer);
         let key = self.requests.insert(Request {
-            arrived: now,
+            arrived_at: now,
             customer: customer.unwrap_or_default(),
             deadline: arrival.deadline,
             phase: Phase::Waiting {
@@ -116,10 +116,10 @@
                 proof: Some(Unsent::new()),
             },
             sends: 0,
-            tried: None,
+            last_endpoint: None,
             work: arrival.work,
         });
-        if let Some((refusal, retry)) = self.reject(customer, key) {
+        if let Some((refusal, retry)) = self.check_arrival(customer, key) {
             self.refuse(key, refusal, retry, out);
             return key;
         }
@@ -136,7 +136,7 @@
                 self.backlog.push(key);
                 self.dispatch(now, out);
             }
-            Work::Resume { .. } => self.take_up(now, key, out),
+            Work::Resume { .. } => self.attach_to_generation(now, key, out),
         }
         key
     }
@@ -146,7 +146,7 @@
     /// Without this, a customer who was away would come back with the claims of all
     /// the time it asked for nothing, and hold up everybody else until it had used
     /// them; they would see their checks wait behind one customer's drafts.
-    fn lift(&mut self, customer: Option<customer::Key>) {
+    fn raise_served_floor(&mut self, customer: Option<customer::Key>) {
         let Some(customer) = customer else {
             return;
         };
@@ -156,11 +156,11 @@
                 return;
             }
             if let Some(other) = self.config.customers.get(request.customer) {
-                least = least.min(other.share());
+                least = least.min(other.served_per_weight());
             }
         }
         let customer = &mut self.config.customers[customer];
-        if least.is_finite() && customer.share() < least {
+        if least.is_finite() && customer.served_per_weight() < least {
             customer.served = least * customer.weight;
         }
     }
@@ -168,25 +168,25 @@
     /// Takes in something that happened outside.
     pub fn step(&mut self, now: Time, wall: Wall, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Answered(attempt, answer) => self.answered(now, attempt, answer, out),
-            Event::Appended(sent) => self
+            Event::Answered(attempt, answer) => self.handle_answer(now, attempt, answer, out),
+            Event::Appended(res) => self
                 .appends
-                .ended(sent, now, self.limits.append_interval * 4),
-            Event::Claims(batches) => self.read_claims(now, batches, out),
-            Event::ClaimsCoveredFrom(from) => self.claims.cover_from(from),
-            Event::ClaimsCaughtUp(at) => self.claims_read = self.claims_read.max(Some(at)),
-            Event::ConfigCaughtUp(at) => self.config_read_at(at),
-            Event::Configured(line) => self.configure(now, line, out),
-            Event::StreamEnded(attempt, tokens) => self.ended(now, attempt, tokens, out),
-            Event::Failed(attempt, failure) => self.failed(now, attempt, failure, out),
-            Event::CallerDisconnected(request) => self.gone(now, request, out),
-            Event::PeerUpdate(heard) => self.heard(now, heard, out),
-            Event::Listed(members, peers) => self.listed(now, members, peers, out),
-            Event::Reported(endpoint, report) => self.reported(now, endpoint, report, out),
+                .finish(res, now, self.limits.append_interval * 4),
+            Event::Claims(batches) => self.apply_claims(now, batches, out),
+            Event::ClaimsCoveredFrom(from) => self.claims.set_covered_from(from),
+            Event::ClaimsCaughtUp(at) => self.claims_read_at = self.claims_read_at.max(Some(at)),
+            Event::ConfigCaughtUp(at) => self.mark_config_current(at),
+            Event::Configured(record) => self.apply_config_record(now, record, out),
+            Event::StreamEnded(attempt, total) => self.handle_stream_end(now, attempt, total, out),
+            Event::Failed(attempt, failure) => self.handle_failure(now, attempt, failure, out),
+            Event::CallerDisconnected(request) => self.handle_disconnect(now, request, out),
+            Event::PeerUpdate(update) => self.apply_peer_update(now, update, out),
+            Event::Listed(members, peers) => self.apply_instance_list(now, members, peers, out),
+            Event::Reported(endpoint, report) => self.apply_report(now, endpoint, report, out),
             Event::Snapshot(snapshot) => self.restore(now, snapshot, out),
-            Event::SnapshotSeen(at) => self.snapshot_seen(at),
+            Event::SnapshotSeen(at) => self.record_snapshot_seen(at),
             Event::Tick => self.tick(now, wall, out),
-            Event::Token(attempt, index, payload) => self.token(now, attempt, index, payload, out),
+            Event::Token(attempt, index, data) => self.handle_token(now, attempt, index, data, out),
             Event::Unreachable(endpoint) => {
                 if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
                     endpoint.report = None;
@@ -197,32 +197,32 @@
 
     /// Whether knowledge of the configuration is young enough for other failure domains.
     #[must_use]
-    pub fn fresh(&self, now: Time) -> bool {
-        self.config_read
+    pub fn config_fresh(&self, now: Time) -> bool {
+        self.config_read_at
             .is_some_and(|read| now.since(read) <= self.limits.staleness)
     }
 
     /// Whether the claim stream was read to its end recently.
     #[must_use]
     pub fn claims_fresh(&self, now: Time) -> bool {
-        self.claims_read
+        self.claims_read_at
             .is_some_and(|read| now.since(read) <= self.limits.staleness)
     }
 
     /// Time since the configuration was last known to be complete.
     #[must_use]
     pub fn staleness(&self, now: Time) -> Option<Duration> {
-        self.config_read.map(|read| now.since(read))
+        self.config_read_at.map(|read| now.since(read))
     }
 
     /// Whether the instance can serve: configuration and instance list are read.
     #[must_use]
     pub fn ready(&self) -> bool {
-        self.config.seen() && !self.endpoints.is_empty()
+        self.config.is_loaded() && !self.endpoints.is_empty()
     }
 
     /// Records that a request uses an order key.
-    pub(crate) fn join_order(&mut self, key: request::Key, name: order::Key) {
+    pub(crate) fn register_order(&mut self, key: request::Key, name: order::Key) {
         let place = self.orders.partition_point(|(other, _)| *other <= name);
         self.orders.insert(place, (name, key));
     }
@@ -245,7 +245,7 @@
     }
 
     /// Requests in progress here that use an order key.
-    pub(crate) fn with_order(&self, name: order::Key) -> Vec<request::Key> {
+    pub(crate) fn requests_with_order(&self, name: order::Key) -> Vec<request::Key> {
         let first = self.orders.partition_point(|(other, _)| *other < name);
         let same = self.orders[first..]
             .iter()
@@ -254,23 +254,23 @@
     }
 
     fn gossip(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.gossip > now {
+        if self.next_gossip > now {
             return;
         }
-        self.gossip = now.after(self.limits.gossip_interval);
-        self.round += 1;
-        for peer in self.fellows(self.round) {
+        self.next_gossip = now.after(self.limits.gossip_interval);
+        self.gossip_round += 1;
+        for peer in self.gossip_peers(self.gossip_round) {
             out.push(Action::Gossip(peer.address.clone()));
         }
     }
 
-    fn reject(
+    fn check_arrival(
         &self,
         customer: Option<customer::Key>,
         key: request::Key,
     ) -> Option<(Refusal, Option<Duration>)> {
-        if !self.config.seen() {
-            return Some((Refusal::NoConfig, Some(ROOM_RETRY)));
+        if !self.config.is_loaded() {
+            return Some((Refusal::NoConfig, Some(RETRY_AFTER)));
         }
         if customer.is_none() {
             return Some((Refusal::UnknownCustomer, None));
@@ -290,13 +290,13 @@
     fn tick(&mut self, now: Time, wall: Wall, out: &mut Vec<Action>) {
         let keys = self.requests.keys().collect::<Vec<_>>();
         for key in keys {
-            self.watch(now, key, out);
+            self.check_timeouts(now, key, out);
         }
-        self.poll(now, out);
+        self.poll_endpoints(now, out);
         self.track_absent_instances(now);
         self.propose_slow_start(now);
         self.gossip(now, out);
-        self.snapshot(now, wall, out);
+        self.append_snapshot_if_due(now, wall, out);
         self.claims
             .expire(wall.before(self.limits.order_window + self.limits.skew * 3));
         self.flush(now, out);
@@ -305,7 +305,7 @@
 
     /// Starts the next append if one is due.
     pub fn flush(&mut self, now: Time, out: &mut Vec<Action>) {
-        if let Some(entries) = self.appends.take(now, self.limits.append_interval) {
+        if let Some(entries) = self.appends.start_append(now, self.limits.append_interval) {
             out.push(Action::Append(Batch {
                 entries,
                 instance: self.digest,
--- a/crates/decision/src/stream.rs
+++ b/crates/decision/src/stream.rs
@@ -3,11 +3,11 @@
 use crate::{invariant::Rule, prelude::*, request::Run};
 
 /// Connections opened again without a token in between before a stream is cut.
-const MOST_RESUMES: u32 = 5;
+const MAX_RESUMES: u32 = 5;
 
 impl State {
     /// A token came.
-    pub(crate) fn token(
+    pub(crate) fn handle_token(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -19,10 +19,10 @@
             self.stats.late += 1;
             return;
         };
-        if run.left.is_some() {
+        if run.disconnected_at.is_some() {
             return;
         }
-        run.progress = now;
+        run.last_progress = now;
         run.resumes = 0;
         // A resumed connection may repeat tokens that a silent one delivered after
         // all; the caller would read a sentence twice. Only the next index passes.
@@ -40,12 +40,12 @@
             self.requests[attempt.request].next() == index + 1,
         );
         self.stats.tokens += 1;
-        self.charge(attempt.request);
+        self.count_served_token(attempt.request);
         out.push(Action::Deliver(attempt.request, index, payload));
     }
 
     /// A stream ended as it should.
-    pub(crate) fn ended(
+    pub(crate) fn handle_stream_end(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -64,7 +64,7 @@
         }
         let endpoint = run.endpoint;
         if let Work::Generation { model, .. } = &self.requests[attempt.request].work {
-            self.lengths.learn(model, tokens);
+            self.output_lengths.learn(model, tokens);
         }
         self.record_served(endpoint, attempt.generation);
         self.finish(attempt.request, Outcome::Answered(None), out);
@@ -72,7 +72,7 @@
     }
 
     /// A connection of a generation failed.
-    pub(crate) fn stream_failed(
+    pub(crate) fn handle_stream_failure(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -82,8 +82,8 @@
         let Some(run) = self.run(attempt) else {
             return;
         };
-        let (next, resumes, left) = (run.next, run.resumes, run.left);
-        if left.is_some() {
+        let (next, resumes, disconnected_at) = (run.next, run.resumes, run.disconnected_at);
+        if disconnected_at.is_some() {
             return;
         }
         match failure {
@@ -124,7 +124,7 @@
             return;
         };
         let (next, endpoint) = (run.next, run.endpoint);
-        if run.resumes >= MOST_RESUMES {
+        if run.resumes >= MAX_RESUMES {
             self.cancel(attempt, false, out);
             if next == 0 {
                 self.retry(now, attempt, None, out);
@@ -138,7 +138,7 @@
             return;
         }
         run.resumes += 1;
-        run.progress = now;
+        run.last_progress = now;
         self.stats.resumed += 1;
         out.push(Action::Resume {
             attempt,
@@ -148,7 +148,12 @@
     }
 
     /// Takes up a generation that another connection began.
-    pub(crate) fn take_up(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
+    pub(crate) fn attach_to_generation(
+        &mut self,
+        now: Time,
+        key: request::Key,
+        out: &mut Vec<Action>,
+    ) {
         let Work::Resume {
             endpoint,
             generation,
@@ -158,7 +163,7 @@
             return;
         };
         let (generation, next) = (*generation, *next);
-        let Some(endpoint) = self.named(endpoint) else {
+        let Some(endpoint) = self.endpoint_by_name(endpoint) else {
             self.refuse(key, Refusal::NotResumable, None, out);
             return;
         };
@@ -169,7 +174,7 @@
         let request = &mut self.requests[key];
         if let Phase::Waiting {
             proof: Some(proof), ..
-        } = std::mem::replace(&mut request.phase, Phase::Moving)
+        } = std::mem::replace(&mut request.phase, Phase::Transition)
         {
             proof.send();
         }
@@ -177,10 +182,10 @@
             claim: None,
             endpoint,
             generation,
-            left: None,
+            disconnected_at: None,
             next,
-            progress: now,
-            promised: 0,
+            last_progress: now,
+            reserved_tokens: 0,
             resumes: 0,
         });
         self.endpoints[endpoint].running += 1;
@@ -205,7 +210,7 @@
     }
 
     /// Counts a token towards the customer's share.
-    fn charge(&mut self, key: request::Key) {
+    fn count_served_token(&mut self, key: request::Key) {
         let customer = self.requests[key].customer;
         if let Some(customer) = self.config.customers.get_mut(customer) {
             customer.served += 1.0;
--- a/crates/decision/src/window.rs
+++ b/crates/decision/src/subset.rs
@@ -9,39 +9,40 @@
 use crate::{event::Peer, prelude::*, state::digest};
 
 /// Endpoints in each of the two windows.
-const SIZE: usize = 24;
+const SUBSET_SIZE: usize = 24;
 
 impl State {
     /// Marks the endpoints that lie in this instance's windows.
-    pub(crate) fn lay_windows(&mut self) {
-        let near = self.ring(&self.domain, true);
-        let far = self.ring(&self.domain, false);
-        let (near_rank, far_rank) = self.ranks(&self.name, &self.domain);
+    pub(crate) fn update_subset(&mut self) {
+        let local = self.ring(&self.domain, true);
+        let remote = self.ring(&self.domain, false);
+        let (local_rank, remote_rank) = self.ranks(&self.name, &self.domain);
         let marked = self.endpoints.iter().map(|(key, endpoint)| {
-            let covered = covers(&near, near_rank, endpoint) || covers(&far, far_rank, endpoint);
-            (key, covered)
+            let in_subset = subset_contains(&local, local_rank, endpoint)
+                || subset_contains(&remote, remote_rank, endpoint);
+            (key, in_subset)
         });
-        for (key, covered) in marked.collect::<Vec<_>>() {
-            self.endpoints[key].mine = covered;
+        for (key, in_subset) in marked.collect::<Vec<_>>() {
+            self.endpoints[key].in_subset = in_subset;
         }
     }
 
     /// Digests of the instances in whose windows an endpoint lies, by rendezvous order.
-    pub(crate) fn covering(&self, endpoint: &Endpoint) -> Vec<u64> {
+    pub(crate) fn instances_with(&self, endpoint: &Endpoint) -> Vec<u64> {
         let mut rings: Vec<(&str, Vec<u64>)> = Vec::new();
         let mut covering = Vec::new();
         for peer in self.peers.iter().filter(|peer| !peer.leaving) {
-            let place = rings.iter().position(|(domain, _)| *domain == peer.domain);
-            let place = place.unwrap_or_else(|| {
-                let near = endpoint.member.domain == peer.domain;
-                rings.push((&peer.domain, self.ring(&peer.domain, near)));
+            let position = rings.iter().position(|(domain, _)| *domain == peer.domain);
+            let position = position.unwrap_or_else(|| {
+                let local = endpoint.member.domain == peer.domain;
+                rings.push((&peer.domain, self.ring(&peer.domain, local)));
                 rings.len() - 1
             });
-            let (near_rank, far_rank) = self.ranks(&peer.name, &peer.domain);
-            let near = endpoint.member.domain == peer.domain;
-            if covers(
-                &rings[place].1,
-                if near { near_rank } else { far_rank },
+            let (local_rank, remote_rank) = self.ranks(&peer.name, &peer.domain);
+            let local = endpoint.member.domain == peer.domain;
+            if subset_contains(
+                &rings[position].1,
+                if local { local_rank } else { remote_rank },
                 endpoint,
             ) {
                 covering.push(peer);
@@ -56,10 +57,10 @@
     }
 
     /// Digests of the endpoints in a failure domain, or outside of it, sorted.
-    fn ring(&self, domain: &str, near: bool) -> Vec<u64> {
+    fn ring(&self, domain: &str, local: bool) -> Vec<u64> {
         let listed = self.endpoints.values();
         let mut ring = listed
-            .filter(|endpoint| (endpoint.member.domain == domain) == near)
+            .filter(|endpoint| (endpoint.member.domain == domain) == local)
             .map(|endpoint| endpoint.digest)
             .collect::<Vec<_>>();
         ring.sort_unstable();
@@ -68,31 +69,31 @@
 
     /// Ranks of an instance within its failure domain and among all.
     fn ranks(&self, name: &str, domain: &str) -> (Rank, Rank) {
-        let near = || self.peers.iter().filter(|peer| peer.domain == domain);
-        let near_rank = Rank {
-            all: near().count().max(1),
-            place: near().filter(|peer| peer.name.as_str() < name).count(),
+        let local = || self.peers.iter().filter(|peer| peer.domain == domain);
+        let local_rank = Rank {
+            count: local().count().max(1),
+            position: local().filter(|peer| peer.name.as_str() < name).count(),
         };
-        let far_rank = Rank {
-            all: self.peers.len().max(1),
-            place: self.peers.partition_point(|peer| peer.name.as_str() < name),
+        let remote_rank = Rank {
+            count: self.peers.len().max(1),
+            position: self.peers.partition_point(|peer| peer.name.as_str() < name),
         };
-        (near_rank, far_rank)
+        (local_rank, remote_rank)
     }
 }
 
 /// Place of an instance in an order.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
-    all: usize,
-    place: usize,
+    count: usize,
+    position: usize,
 }
 
 /// Whether an endpoint lies in the window that belongs to a rank.
-fn covers(ring: &[u64], rank: Rank, endpoint: &Endpoint) -> bool {
-    let Ok(place) = ring.binary_search(&endpoint.digest) else {
+fn subset_contains(ring: &[u64], rank: Rank, endpoint: &Endpoint) -> bool {
+    let Ok(position) = ring.binary_search(&endpoint.digest) else {
         return false;
     };
-    let start = rank.place * ring.len() / rank.all;
-    (place + ring.len() - start) % ring.len() < SIZE
+    let start = rank.position * ring.len() / rank.count;
+    (position + ring.len() - start) % ring.len() < SUBSET_SIZE
 }
--- a/crates/decision/tests/config.rs
+++ b/crates/decision/tests/config.rs
@@ -35,7 +35,7 @@
         panic!("{beaten:?}");
     };
     assert_eq!((item.to_string().as_str(), winner), ("domain.sor", Some(1)));
-    assert!(!config.out("sor"));
+    assert!(!config.domain_out("sor"));
 }
 
 /// A record that was read before comes again, from a fellow instance or after a
@@ -49,7 +49,7 @@
         config.apply(0, &domain(true, None)),
         ApplyResult::AlreadyApplied
     );
-    assert!(!config.out("sor"));
+    assert!(!config.domain_out("sor"));
     assert_eq!(config.next(), 2);
 }
 
@@ -63,15 +63,15 @@
     let old = config.snapshot();
     config.apply(1, &domain(false, Some(0)));
     assert!(!config.restore(old.clone()));
-    assert!(!config.out("sor"));
+    assert!(!config.domain_out("sor"));
     let mut fresh = Config::default();
     assert!(fresh.restore(config.snapshot()));
-    assert_eq!((fresh.next(), fresh.out("sor")), (2, false));
+    assert_eq!((fresh.next(), fresh.domain_out("sor")), (2, false));
     let mut behind = Config::default();
     assert!(behind.restore(old));
-    assert!(behind.out("sor"));
+    assert!(behind.domain_out("sor"));
     assert!(behind.restore(config.snapshot()));
-    assert!(!behind.out("sor"));
+    assert!(!behind.domain_out("sor"));
 }
 
 /// A record changes two items and lost the race for one. Half of it in force would
@@ -93,5 +93,5 @@
         config.apply(1, &both),
         ApplyResult::Conflict { winner: None, .. }
     ));
-    assert!(config.out("sor"));
+    assert!(config.domain_out("sor"));
 }
--- a/crates/decision/tests/fairness.rs
+++ b/crates/decision/tests/fairness.rs
@@ -175,12 +175,12 @@
     let away = state.config.customer(&[1; 32]).expect("it is published");
     state.config.customers[busy].served = 5_000.0;
     let request = decision::request::Request {
-        arrived: Time::default(),
+        arrived_at: Time::default(),
         customer: busy,
         deadline: Time::MAX,
-        phase: decision::request::Phase::Moving,
+        phase: decision::request::Phase::Transition,
         sends: 0,
-        tried: None,
+        last_endpoint: None,
         work: Work::Resume {
             endpoint: String::new(),
             generation: decision::generation::Id(0),
