--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -1,12 +1,12 @@
-//! How requests are sent, and sent again.
+//! Dispatch and retry of requests.
 
 use crate::{invariant::Rule, prelude::*, request::Run, routing::Choice, state::RETRY_AFTER};
 
-/// Most searches for an endpoint in one dispatch, so that no turn of the loop is long.
+/// Largest number of endpoint selections in one dispatch, which bounds the time of a step.
 const MAX_SEARCHES_PER_DISPATCH: usize = 64;
 
 impl State {
-    /// Asserts what must hold of every send.
+    /// Checks the invariants of a send.
     pub(crate) fn check_send_invariants(
         &mut self,
         now: Time,
@@ -44,14 +44,15 @@
         self.invariants.check(Rule::ClaimHeld, held);
     }
 
-    /// Sends what can be sent.
+    /// Sends waiting requests for which there is an endpoint, and trims the queue.
     pub(crate) fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.backlog.is_empty() {
             return;
         }
         let order = self.backlog.ordered(&self.requests, &self.config);
-        // A search that found no room is not made again for as much of the same: without
-        // this, 64 drafts that wait for one model would hide every check behind them.
+        // Requests that need at least as much as one that found no capacity are skipped.
+        // Otherwise, requests for one saturated model would use up the searches, and requests
+        // for other models behind them would never be sent.
         let mut saturated: Vec<(String, u64)> = Vec::new();
         let mut searches = 0;
         for key in order {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// What a request needs: the name of its route or service, and memory in tokens.
+    /// The route or service that a request needs, and KV-cache memory in tokens.
     fn demand(&self, key: request::Key) -> (String, u64) {
         match &self.requests[key].work {
             Work::Call { service, .. } => (format!("service {service}"), 0),
@@ -97,16 +98,16 @@
         }
     }
 
-    /// KV memory that a generation is expected to need, in tokens.
+    /// KV-cache memory that a generation is expected to need, in tokens.
     pub(crate) fn required_tokens(&self, model: &str, limit: u32, prompt: u32) -> u64 {
         let expected = self.output_lengths.expected(&self.config, model);
         u64::from(prompt) + u64::from(limit.min(expected))
     }
 
-    /// Forgets an engine's report after a failure there, until it reports again.
+    /// Discards the load report of an endpoint after a failure, and polls it at once.
     ///
-    /// It may have started anew and be cold; work sent by the old report in the
-    /// meantime would throw it over.
+    /// The engine may have restarted and be cold, and requests sent by the old report could
+    /// overload it.
     pub(crate) fn discard_report(&mut self, endpoint: endpoint::Key) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.report = None;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Puts a failed attempt back among the waiting, if the budget allows.
+    /// Queues the request of a failed attempt again, if the retry budget allows.
     pub(crate) fn retry(
         &mut self,
         now: Time,
--- a/crates/decision/src/limits.rs
+++ b/crates/decision/src/limits.rs
@@ -1,35 +1,35 @@
-//! Bounds and times that decisions use.
+//! Limits and intervals.
 
 use crate::prelude::*;
 
-/// Bounds of one instance, from its settings.
+/// Limits of an instance, from its settings.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Shortest time between two appends of this instance to one stream.
+    /// Minimum time between two appends of this instance to the claim stream.
     pub append_interval: Duration,
-    /// Longest time that an order waits for its claim to be settled.
+    /// Maximum time that an order waits for its claim to be settled.
     pub claim_wait: Duration,
-    /// Longest a request without a deadline of its own may take.
+    /// Maximum, and default, time until the deadline of a request.
     pub deadline: Duration,
-    /// How often fellow instances are asked what they know.
+    /// Time between two rounds of gossip with peers.
     pub gossip_interval: Duration,
-    /// How long a generation is kept after its caller left, before it is cancelled.
+    /// Time after which a generation whose caller disconnected is cancelled.
     pub grace: Duration,
-    /// Age up to which order keys are taken.
+    /// Maximum age of an order key.
     pub order_window: Duration,
-    /// How often the steward of an endpoint asks for its load.
+    /// Time between two requests for an endpoint's load report.
     pub poll_interval: Duration,
-    /// Requests that may wait here.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Second tries allowed per hundred first ones.
+    /// Retries allowed per hundred first attempts.
     pub retry_percent: u32,
-    /// Silence on a stream after which a second connection is opened.
+    /// Time without a token after which a stream is resumed on a new connection.
     pub silence: Duration,
-    /// Difference allowed between the clocks of callers, instances and the log.
+    /// Maximum clock skew between callers, instances and the log.
     pub skew: Duration,
     /// Time between two snapshots of the configuration.
     pub snapshot_interval: Duration,
-    /// Age of knowledge past which only the own failure domain gets new work.
+    /// Age of the configuration beyond which only the own failure domain gets new work.
     pub staleness: Duration,
 }
 
--- a/crates/decision/src/membership.rs
+++ b/crates/decision/src/membership.rs
@@ -1,4 +1,4 @@
-//! Endpoints and instances that come and go.
+//! Membership of endpoints and instances.
 
 use crate::{
     endpoint::{Kind, Member},
@@ -9,7 +9,7 @@
 };
 
 impl State {
-    /// Whether the instance with this digest of its name is in the list, or is this one.
+    /// Whether the instance with this name digest is listed or is this one.
     pub(crate) fn is_live(&self, instance: u64) -> bool {
         instance == self.digest || self.live_instances.binary_search(&instance).is_ok()
     }
@@ -41,8 +41,8 @@
             .collect::<Vec<_>>();
         kept.sort_unstable();
         self.endpoint_names = endpoint_names;
-        // An endpoint that is no longer listed gets no new work, but the requests that
-        // are there still belong to it.
+        // An endpoint that is no longer listed gets no new work, but is kept until its
+        // running requests have ended.
         for (key, endpoint) in &mut self.endpoints {
             endpoint.member.leaving |= kept.binary_search(&key).is_err();
         }
@@ -56,7 +56,7 @@
         self.dispatch(now, out);
     }
 
-    /// The endpoint of this name.
+    /// The listed endpoint with this name.
     pub(crate) fn endpoint_by_name(&self, name: &str) -> Option<endpoint::Key> {
         let index = self
             .endpoint_names
--- a/crates/decision/src/order.rs
+++ b/crates/decision/src/order.rs
@@ -1,21 +1,20 @@
-//! Order keys of non-idempotent requests.
+//! Orders, which are non-idempotent calls with an idempotency key.
 
 use crate::prelude::*;
 
-/// An order key: the caller's `UUIDv7`, and a digest of the customer.
+/// An order key: the caller's `UUIDv7` and a digest of the customer.
 ///
-/// The UUID comes first, so keys sort by their time of birth and those that
-/// leave the window leave from the front.
+/// The UUID comes first, so that keys sort by creation time and the oldest expire first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Key {
-    /// The UUID as a number, the time of birth in its highest 48 bits.
+    /// The UUID; its highest 48 bits are the creation time in milliseconds.
     pub uuid: u128,
     /// First eight bytes of the hash of the customer's name.
     pub customer: u64,
 }
 
 impl Key {
-    /// The time of birth that the key carries.
+    /// The creation time in the UUID.
     #[must_use]
     pub fn birth(self) -> Wall {
         let millis = self.uuid >> 80;
@@ -23,7 +22,7 @@
     }
 }
 
-/// An order as the caller names it.
+/// An order as identified by its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Order {
     /// Digest of method, path and body.
--- a/crates/decision/src/outcome.rs
+++ b/crates/decision/src/outcome.rs
@@ -1,38 +1,38 @@
-//! The three ends of a request, kept apart by their types.
+//! The three outcomes of a request.
 //!
-//! A refusal that says "not run" must be true. [`NotRun`] can only be built from
-//! an [`Unsent`], and starting an attempt consumes the [`Unsent`]; it comes back
-//! only against [`Evidence`] that the attempt reached nobody.
+//! A request may be reported as not run only if that is certain. [`NotRun`] can only be built
+//! from an [`Unsent`], which starting an attempt consumes. It is restored only by
+//! [`Evidence`] that the attempt did not run.
 
 use crate::prelude::*;
 
-/// Proof that the request has been sent to no endpoint.
+/// Proof that no endpoint has received the request.
 #[derive(Debug)]
 pub struct Unsent(());
 
 impl Unsent {
-    /// Issued once, when a request arrives.
+    /// Created once per request, on its arrival.
     pub(crate) const fn new() -> Self {
         Self(())
     }
 
-    /// Gives the proof up because an attempt is about to be written.
+    /// Consumes the proof before an attempt is written.
     pub(crate) fn send(self) {
         let Self(()) = self;
     }
 }
 
-/// Why it is provable that an attempt was not run.
+/// Evidence that an attempt did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Evidence {
-    /// The endpoint answered that it did not take the request.
+    /// The endpoint answered that it rejected the request.
     EndpointRefused,
     /// No byte of the request was written to a connection.
     NothingWritten,
 }
 
 impl Evidence {
-    /// Turns the evidence back into the proof that the attempt had used up.
+    /// Restores the proof that the attempt consumed.
     pub(crate) const fn unsent(self) -> Unsent {
         match self {
             Self::EndpointRefused | Self::NothingWritten => Unsent(()),
@@ -43,25 +43,25 @@
 /// How a request ended.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The whole answer of the endpoint; `None` where it was delivered as a stream.
+    /// The complete answer of the endpoint; `None` if it was delivered as a stream.
     Answered(Option<Answer>),
-    /// It may have run, in whole or in part, and nobody here can tell.
+    /// It may have run, in whole or in part.
     MayHaveRun(MayHaveRun),
     /// It provably did not run.
     NotRun(NotRun),
 }
 
-/// A refusal with the proof that nothing ran.
+/// Refusal of a request that did not run.
 #[derive(Debug)]
 pub struct NotRun {
     /// Why the request was refused.
     pub refusal: Refusal,
-    /// When trying again makes sense, if it does.
+    /// Time after which a retry may succeed, if it can.
     pub retry_after: Option<Duration>,
 }
 
 impl NotRun {
-    /// Uses up the proof that nothing was sent.
+    /// Consumes the proof that nothing was sent.
     #[must_use]
     pub fn new(proof: Unsent, refusal: Refusal, retry_after: Option<Duration>) -> Self {
         proof.send();
@@ -75,15 +75,15 @@
 /// Why the result of a request is unknown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MayHaveRun {
-    /// The claim's append could not be settled before the deadline.
+    /// The claim was not settled before the deadline.
     ClaimUnsettled,
     /// The connection to the endpoint broke after the request was written.
     ConnectionLost,
-    /// The deadline passed while the endpoint was at work.
+    /// The deadline passed while the request was running.
     DeadlinePassed,
-    /// An earlier request under the same key ran, or may have; its answer is gone.
+    /// An earlier request with the same key ran or may have run, and its answer is not stored.
     EarlierAttempt,
-    /// The stream stopped for good after this many tokens.
+    /// The stream ended prematurely after this many tokens.
     StreamCut(u32),
 }
 
@@ -106,7 +106,7 @@
 pub enum Refusal {
     /// Endpoints exist but none accepted the request.
     AllRefused,
-    /// The caller left before the request was sent.
+    /// The caller disconnected before the request was sent.
     CallerGone,
     /// The deadline passed while the request waited.
     DeadlinePassed,
@@ -114,15 +114,15 @@
     NoConfig,
     /// No endpoint can serve the route or service now.
     NoEndpoint,
-    /// The generation to resume is not kept any more.
+    /// The generation to resume is no longer kept.
     NotResumable,
-    /// The order key is older than the window in which repeats are known.
+    /// The order key is older than [`Limits::order_window`].
     KeyExpired,
-    /// The order key claims to be born in the future.
+    /// The creation time of the order key is in the future.
     KeyFromFuture,
     /// The order key was used with another body.
     KeyReused,
-    /// The log cannot be reached, so the order key cannot be claimed.
+    /// The log is unreachable, so the order key cannot be claimed.
     LogUnavailable,
     /// The queue is full.
     QueueFull,
--- a/crates/decision/src/output_length.rs
+++ b/crates/decision/src/output_length.rs
@@ -1,21 +1,21 @@
-//! Output lengths learnt online.
+//! Expected output lengths of models.
 
 use crate::prelude::*;
 
-/// Weight of the newest length in the running mean of a model.
+/// Weight of a new length in the exponential moving average of a model.
 const SMOOTHING_FACTOR: f64 = 0.05;
 
-/// Output length assumed for a route that says nothing, in tokens.
+/// Output length, in tokens, expected of an unknown route.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// Running means of output lengths, sorted by public model name.
+/// Moving averages of output lengths in tokens, sorted by public model name.
 #[derive(Debug, Default)]
 pub struct OutputLengths {
     means: Vec<(String, f64)>,
 }
 
 impl OutputLengths {
-    /// Output length expected of a model, in tokens.
+    /// Expected output length of a model, in tokens.
     #[must_use]
     pub fn expected(&self, config: &Config, model: &str) -> u32 {
         match self.search(model) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Learns from a finished generation.
+    /// Updates the average with the length of a completed generation.
     pub fn learn(&mut self, model: &str, tokens: u32) {
         let tokens = f64::from(tokens);
         match self.search(model) {
--- a/crates/decision/src/record.rs
+++ b/crates/decision/src/record.rs
@@ -1,14 +1,14 @@
-//! Configuration records as operators publish them.
+//! Configuration records published by operators.
 
 use {
     crate::prelude::*,
     serde::{Deserialize, Serialize},
 };
 
-/// Newest schema that this version understands.
+/// Newest record schema that this version supports.
 pub const SCHEMA: u32 = 1;
 
-/// One publication: all of its changes take effect, or none.
+/// A transaction: all of its changes are applied, or none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// The changes.
@@ -22,13 +22,13 @@
 pub struct Change {
     /// The new content; `None` removes the item.
     pub body: Option<Body>,
-    /// Which item.
+    /// The item.
     pub item: Item,
-    /// Offset of the record that last changed the item; `None` if it must be new.
+    /// Offset of the record that must have last changed the item; `None` if it must be new.
     pub replaces: Option<u64>,
 }
 
-/// Names an item of the configuration.
+/// Identifies an item of the configuration.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Item {
     /// Kind of the item.
@@ -101,7 +101,7 @@
 pub struct Customer {
     /// BLAKE3 hashes of API keys.
     pub credentials: Vec<[u8; 32]>,
-    /// Higher goes first while requests wait.
+    /// Priority of its requests in the queue; higher is served first.
     pub priority: u8,
     /// Share of service relative to other customers.
     pub weight: u32,
@@ -114,16 +114,16 @@
     pub out: bool,
 }
 
-/// Facts about an endpoint that it does not report itself.
+/// Facts about an endpoint that its load report does not contain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Facts {
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// Requests that it bears at once while cold, over all instances together.
+    /// Concurrent requests allowed while it is cold, over all instances.
     pub cold_limit: u32,
-    /// How long it is cold after a start, at the most.
+    /// Minimum time after a start before it may be declared warm.
     pub cold_time: Duration,
-    /// Whether it refuses to run a second order with the same idempotency key.
+    /// Whether it runs only the first order with an idempotency key.
     pub deduplicates: bool,
 }
 
@@ -141,16 +141,16 @@
 /// A route from a public model name.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Route {
-    /// Output length in tokens assumed until lengths were seen.
+    /// Expected output length, in tokens, until a generation has completed.
     pub expected_tokens: u32,
-    /// Versions with their shares, any sum.
+    /// Model versions; their shares need not add up to a fixed sum.
     pub versions: Vec<Version>,
 }
 
 /// A model version of a route.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Version {
-    /// Name under which engines serve it, adapter included.
+    /// Name under which engines serve it, including the adapter.
     pub model: String,
     /// Share of new requests relative to the other versions.
     pub share: u32,
@@ -159,6 +159,6 @@
 /// A plain service.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Service {
-    /// Path prefixes whose `POST` calls may be repeated.
+    /// Path prefixes whose `POST` calls are idempotent.
     pub idempotent: Vec<String>,
 }
--- a/crates/decision/src/request.rs
+++ b/crates/decision/src/request.rs
@@ -3,31 +3,31 @@
 use crate::prelude::*;
 
 slotmap::new_key_type! {
-  /// Names a request in the arena of the state.
+  /// Key of a request in [`State::requests`].
   pub struct Key;
 }
 
-/// One request in progress.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Request {
     /// When it arrived.
     pub arrived_at: Time,
-    /// The customer it is served for.
+    /// The customer.
     pub customer: customer::Key,
-    /// When the caller stops waiting.
+    /// Time after which the caller no longer waits for an answer.
     pub deadline: Time,
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
-    /// Sends that are not proven to have reached nobody.
+    /// Number of sends without evidence that they did not run.
     pub sends: u32,
-    /// Endpoint tried last, avoided by the next try.
+    /// Endpoint of the last attempt, which a retry avoids.
     pub last_endpoint: Option<endpoint::Key>,
-    /// What is asked for.
+    /// The requested work.
     pub work: Work,
 }
 
 impl Request {
-    /// The order, for calls that carry a key.
+    /// The order, for calls with an idempotency key.
     #[must_use]
     pub const fn order(&self) -> Option<order::Order> {
         match &self.work {
@@ -37,32 +37,32 @@
     }
 }
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Debug)]
 pub enum Phase {
-    /// Its claim is on the way into the log.
+    /// Its claim is being appended to the log.
     Claiming {
         /// The claim.
         claim: claim::Id,
         /// Proof that nothing was sent.
         proof: Unsent,
     },
-    /// It is between two phases; never seen from outside a step.
+    /// Placeholder while the phase changes; never visible outside a step.
     Transition,
-    /// It is at an endpoint.
+    /// It was sent to an endpoint.
     Running(Run),
-    /// Another request with the same key is in progress.
+    /// It waits for the result of another request with the same key.
     Coalesced(Unsent),
     /// It waits for an endpoint.
     Waiting {
         /// The claim it holds, for an order.
         claim: Option<claim::Id>,
-        /// Proof that nothing was sent; `None` once an idempotent try was.
+        /// Proof that nothing was sent; `None` if an earlier attempt may have run.
         proof: Option<Unsent>,
     },
 }
 
-/// A request at an endpoint.
+/// A running request.
 #[derive(Debug)]
 pub struct Run {
     /// The claim it holds, for an order.
@@ -71,20 +71,20 @@
     pub endpoint: endpoint::Key,
     /// The attempt.
     pub generation: generation::Id,
-    /// When the caller left, if it did.
+    /// When the caller disconnected, if it did.
     pub disconnected_at: Option<Time>,
     /// Index of the next token to deliver.
     pub next: u32,
-    /// When the last token or answer byte came.
+    /// When the last token was received, or when the request was last sent or resumed.
     pub last_progress: Time,
-    /// Memory promised for it at the endpoint.
+    /// KV-cache memory, in tokens, reserved for it at the endpoint.
     pub reserved_tokens: u64,
-    /// Connections opened again without progress in between.
+    /// Number of times it was resumed since the last token.
     pub resumes: u32,
 }
 
 impl Request {
-    /// Index of the next token to deliver, zero unless it is at an endpoint.
+    /// Index of the next token to deliver; zero unless it is running.
     #[must_use]
     pub const fn next(&self) -> u32 {
         match &self.phase {
--- a/crates/decision/src/routing.rs
+++ b/crates/decision/src/routing.rs
@@ -1,30 +1,30 @@
-//! Choice of an endpoint.
+//! Selection of an endpoint.
 
 use crate::{endpoint::Kind, prelude::*};
 
-/// Part of the KV memory that may be promised, in hundredths.
+/// Percentage of an engine's KV-cache capacity that may be used or reserved.
 const MAX_RESERVED_MEMORY_PERCENT: i64 = 92;
 
-/// Where a request can go now.
+/// Result of selecting an endpoint for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// To this endpoint, as this model version, with this much memory promised.
+    /// Send it to an endpoint.
     Send {
         /// The endpoint.
         endpoint: endpoint::Key,
         /// The model version, for a generation.
         model: Option<String>,
-        /// KV memory it is expected to need, in tokens.
+        /// KV-cache memory to reserve, in tokens.
         required_tokens: u64,
     },
-    /// Nowhere before something changes.
+    /// Wait: usable endpoints exist, but none has capacity.
     Wait,
-    /// Nowhere, and no endpoint in sight could take it.
+    /// Reject: no usable endpoint serves it.
     Reject,
 }
 
 impl State {
-    /// Chooses an endpoint for a request.
+    /// Selects an endpoint for a request.
     pub(crate) fn choose(&mut self, now: Time, request: request::Key) -> Choice {
         let request = &self.requests[request];
         match &request.work {
@@ -42,12 +42,11 @@
         }
     }
 
-    /// Whether an endpoint may get new work at all.
+    /// Whether an endpoint may get new requests, regardless of its load.
     ///
-    /// With knowledge older than the bound, another failure domain may have been
-    /// taken out without this instance having heard of it: work would go to
-    /// endpoints that are about to be switched off. Only the own failure domain
-    /// is served then, whose operators can be seen from here.
+    /// While the configuration is stale, only endpoints in the own failure domain are used:
+    /// another one may have been taken out of service without this instance knowing, and
+    /// requests would go to endpoints that are about to be switched off.
     pub(crate) fn usable(&self, now: Time, endpoint: &Endpoint) -> bool {
         if !endpoint.in_subset
             || endpoint.leaving()
@@ -58,9 +57,9 @@
         self.config_fresh(now) || endpoint.member.domain == self.domain
     }
 
-    /// Whether an endpoint bears one more request of this instance.
+    /// Whether slow start allows another request of this instance at an endpoint.
     ///
-    /// Warm by the log: yes. Cold: only up to this instance's part of its limit.
+    /// A warm endpoint has no limit; a cold one is limited to the quota of this instance.
     pub(crate) fn slow_start_allows(&self, endpoint: &Endpoint) -> bool {
         let Some(slot) = self.slow_start.get(endpoint.digest) else {
             return false;
@@ -74,7 +73,7 @@
         current && (slot.warm || endpoint.running < quota)
     }
 
-    /// Number of endpoints that could take a request of this instance now.
+    /// Number of endpoints to which this instance could send a request now.
     #[must_use]
     pub fn available_endpoints(&self, now: Time) -> usize {
         let listed = self.endpoints.values();
@@ -161,7 +160,7 @@
         }
     }
 
-    /// Draws a model version of a route by the published shares.
+    /// Selects a model version of a route at random, weighted by the published shares.
     fn choose_version(&mut self, model: &str) -> Option<String> {
         let route = self.config.route(model)?;
         let total = route
@@ -180,7 +179,7 @@
     }
 }
 
-/// Weight of a name for an item; the highest weight is the item's steward.
+/// Rendezvous hash (highest random weight) of a name for an item.
 ///
 /// # Panics
 ///
--- a/crates/decision/src/snapshot.rs
+++ b/crates/decision/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots of the configuration, so that its records may age out.
+//! Snapshots of the configuration.
 //!
-//! The log keeps records for a limited time. An instance that starts later would
-//! lack what the oldest ones said and could not serve. So the whole configuration
-//! is appended to a stream of its own from time to time, by whichever instance
-//! comes first by rank; no election is needed, since two snapshots do no harm.
+//! The log keeps records for a limited time, and an instance that starts later needs the
+//! changes of expired records. Instances therefore append the whole configuration to a
+//! separate stream from time to time. Their ranks stagger them, so that usually one does;
+//! duplicate snapshots are harmless, so no leader election is needed.
 
 use {
     crate::{
@@ -13,40 +13,40 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Longest time that each rank waits for the one before it.
+/// Upper bound of the delay per rank.
 const MAX_RANK_DELAY: Duration = Duration::from_secs(10);
 
-/// Parts of the interval that a rank waits, unless that is longer.
+/// The delay per rank is the snapshot interval divided by this, up to [`MAX_RANK_DELAY`].
 const RANK_DELAY_DIVISOR: u32 = 8;
 
-/// Time before a failed snapshot is tried again.
+/// Time after which a snapshot that did not appear in the log is appended again.
 const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Most ranks that are waited for.
+/// Upper bound of the rank.
 const MAX_RANK: u32 = 30;
 
-/// The configuration as of an offset.
+/// The configuration as of one offset.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Snapshot {
     /// The items.
     pub entries: Vec<Entry>,
-    /// Offset of the first record that is not in it.
+    /// Offset of the first record that it does not include.
     pub next: u64,
 }
 
-/// One item of a snapshot.
+/// An item of a snapshot.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
-    /// Its content.
+    /// Content of the item.
     pub body: Body,
-    /// Which item.
+    /// The item.
     pub item: Item,
-    /// Offset of the record that last changed it.
+    /// Offset of the record that last changed the item.
     pub offset: u64,
 }
 
 impl State {
-    /// Takes a snapshot in; one that is older than what is known changes nothing.
+    /// Applies a snapshot if it is newer than the configuration in force.
     pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot, out: &mut Vec<Action>) {
         if self.config.restore(snapshot) {
             self.history.clear();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A snapshot of some instance was seen in the log.
+    /// Records that the log stored a snapshot at `at`.
     pub(crate) fn record_snapshot_seen(&mut self, at: Wall) {
         self.last_snapshot_at = self.last_snapshot_at.max(Some(at));
     }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -1,37 +1,37 @@
-//! Everything an instance knows, and the step that changes it.
+//! State of an instance, and the step that advances it.
 
 use {
     crate::{event::Peer, gossip::History, prelude::*, request::Run, routing::rendezvous},
     rand::{SeedableRng, rngs::StdRng},
 };
 
-/// When to come back after a refusal for want of room.
+/// `Retry-After` of requests refused for lack of capacity or configuration.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of one entry instance, owned by its one loop.
+/// State of an entry instance, owned by its event loop.
 #[derive(Debug)]
 pub struct State {
     /// Requests that wait for an endpoint.
     pub backlog: Backlog,
-    /// Entries on their way into the claim stream.
+    /// Entries being appended to the claim stream.
     pub appends: crate::batch::AppendQueue,
-    /// What second tries may spend.
+    /// Budget for retries.
     pub retry_budget: RetryBudget,
-    /// Claims, as far as the log was read.
+    /// Claims read from the log.
     pub claims: ClaimTable,
     /// Configuration in force.
     pub config: Config,
     /// Name of the own failure domain.
     pub domain: String,
-    /// Endpoints in the instance list.
+    /// Listed endpoints, and unlisted ones that still run requests.
     pub endpoints: SlotMap<endpoint::Key, Endpoint>,
-    /// Checks of what must hold.
+    /// Counters of invariant checks.
     pub invariants: Invariants,
-    /// Bounds and times.
+    /// Limits and intervals.
     pub limits: Limits,
     /// Name of this instance.
     pub name: String,
-    /// Entry instances in the list, sorted by name.
+    /// Listed entry instances, sorted by name.
     pub peers: Vec<Peer>,
     /// Requests in progress.
     pub requests: SlotMap<request::Key, Request>,
@@ -48,11 +48,11 @@
     pub(crate) next_gossip: Time,
     pub(crate) endpoint_names: Vec<(String, endpoint::Key)>,
     pub(crate) gossip_round: u64,
-    /// Whether this instance is about to stop.
+    /// Whether this instance is shutting down.
     pub draining: bool,
-    /// Configuration records kept for fellow instances.
+    /// Configuration records kept for peers.
     pub history: History,
-    /// Which endpoints are cold, as far as the log was read.
+    /// Slow-start state of endpoints read from the log.
     pub slow_start: SlowStart,
     pub(crate) digest: u64,
     pub(crate) orders: Vec<(order::Key, request::Key)>,
@@ -60,7 +60,7 @@
 }
 
 impl State {
-    /// An instance that knows nothing yet.
+    /// Initial state of the instance `name` in failure domain `domain`.
     #[must_use]
     pub fn new(name: &str, domain: &str, limits: Limits, seed: u64) -> Self {
         Self {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes a new request in.
+    /// Accepts a new request and returns its key, which is invalid if it was refused at once.
     pub fn arrive(
         &mut self,
         now: Time,
@@ -141,11 +141,10 @@
         key
     }
 
-    /// Brings the counter of a customer who had nothing in progress up to the others.
+    /// Raises the counter of a customer without requests to the lowest one in progress.
     ///
-    /// Without this, a customer who was away would come back with the claims of all
-    /// the time it asked for nothing, and hold up everybody else until it had used
-    /// them; they would see their checks wait behind one customer's drafts.
+    /// Otherwise, a customer returning after an idle period would be served before all others
+    /// until its counter had caught up.
     fn raise_served_floor(&mut self, customer: Option<customer::Key>) {
         let Some(customer) = customer else {
             return;
@@ -165,7 +164,7 @@
         }
     }
 
-    /// Takes in something that happened outside.
+    /// Handles an event.
     pub fn step(&mut self, now: Time, wall: Wall, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Answered(attempt, answer) => self.handle_answer(now, attempt, answer, out),
@@ -195,14 +194,14 @@
         }
     }
 
-    /// Whether knowledge of the configuration is young enough for other failure domains.
+    /// Whether the configuration is fresh enough to use other failure domains.
     #[must_use]
     pub fn config_fresh(&self, now: Time) -> bool {
         self.config_read_at
             .is_some_and(|read| now.since(read) <= self.limits.staleness)
     }
 
-    /// Whether the claim stream was read to its end recently.
+    /// Whether the claim stream was read to its end within [`Limits::staleness`].
     #[must_use]
     pub fn claims_fresh(&self, now: Time) -> bool {
         self.claims_read_at
@@ -215,13 +214,13 @@
         self.config_read_at.map(|read| now.since(read))
     }
 
-    /// Whether the instance can serve: configuration and instance list are read.
+    /// Whether the instance can serve, having read the configuration and the instance list.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.config.is_loaded() && !self.endpoints.is_empty()
     }
 
-    /// Records that a request uses an order key.
+    /// Registers a request that uses an order key.
     pub(crate) fn register_order(&mut self, key: request::Key, name: order::Key) {
         let place = self.orders.partition_point(|(other, _)| *other <= name);
         self.orders.insert(place, (name, key));
@@ -236,7 +235,7 @@
         }
     }
 
-    /// The run that an attempt names, if it is still current.
+    /// The run of an attempt, if the attempt is still current.
     pub(crate) fn run(&mut self, attempt: Attempt) -> Option<&mut Run> {
         match &mut self.requests.get_mut(attempt.request)?.phase {
             Phase::Running(run) if run.generation == attempt.generation => Some(run),
@@ -244,7 +243,7 @@
         }
     }
 
-    /// Requests in progress here that use an order key.
+    /// Requests of this instance that use an order key.
     pub(crate) fn requests_with_order(&self, name: order::Key) -> Vec<request::Key> {
         let first = self.orders.partition_point(|(other, _)| *other < name);
         let same = self.orders[first..]
@@ -314,7 +313,7 @@
     }
 }
 
-/// First eight bytes of the hash of a name, for records where names are too long.
+/// 64-bit digest of a name, used in place of the name in log entries.
 #[must_use]
 pub fn digest(name: &str) -> u64 {
     rendezvous(name, "")
--- a/crates/decision/src/stats.rs
+++ b/crates/decision/src/stats.rs
@@ -1,23 +1,23 @@
-//! Counts for the metrics page.
+//! Counters exposed as metrics.
 
-/// Counters of decisions since the instance started.
+/// Counters since the start of the instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stats {
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
-    /// Claims lost to an earlier claim of the same key.
+    /// Claims that lost to an earlier claim of the same key.
     pub claims_lost: u64,
-    /// Events of attempts that were no longer current.
+    /// Events of attempts that were no longer current, and duplicate tokens.
     pub late: u64,
     /// Requests whose result is unknown.
     pub may_have_run: u64,
-    /// Requests refused without being run.
+    /// Requests refused without running.
     pub not_run: u64,
-    /// Second connections opened because a stream was silent or broke.
+    /// Streams resumed on a new connection.
     pub resumed: u64,
-    /// Second tries at another endpoint.
+    /// Retries.
     pub retried: u64,
-    /// Requests sent to an endpoint, second tries included.
+    /// Requests sent to an endpoint, except retries at the same endpoint.
     pub sent: u64,
     /// Tokens delivered.
     pub tokens: u64,
--- a/crates/decision/src/stream.rs
+++ b/crates/decision/src/stream.rs
@@ -1,12 +1,12 @@
-//! Generations: each token once, in order, from one generation.
+//! Token streams: each token is delivered once, in order, from one generation.
 
 use crate::{invariant::Rule, prelude::*, request::Run};
 
-/// Connections opened again without a token in between before a stream is cut.
+/// Number of resumes without a token in between after which a stream is cut.
 const MAX_RESUMES: u32 = 5;
 
 impl State {
-    /// A token came.
+    /// Handles a token.
     pub(crate) fn handle_token(
         &mut self,
         now: Time,
@@ -24,8 +24,8 @@
         }
         run.last_progress = now;
         run.resumes = 0;
-        // A resumed connection may repeat tokens that a silent one delivered after
-        // all; the caller would read a sentence twice. Only the next index passes.
+        // After a resume, the old connection may still deliver tokens that the new one
+        // repeats. Only the next index is passed on.
         if index < run.next {
             self.stats.late += 1;
             return;
@@ -44,7 +44,7 @@
         out.push(Action::Deliver(attempt.request, index, payload));
     }
 
-    /// A stream ended as it should.
+    /// Handles the end of a stream after `tokens` tokens.
     pub(crate) fn handle_stream_end(
         &mut self,
         now: Time,
@@ -56,8 +56,8 @@
             self.stats.late += 1;
             return;
         };
-        // The end can overtake tokens that are still on another connection; ending
-        // here would leave them out without a word.
+        // The end can overtake tokens on another connection; finishing here would silently
+        // drop them.
         if tokens != run.next {
             self.resume(now, attempt, out);
             return;
@@ -71,7 +71,7 @@
         self.dispatch(now, out);
     }
 
-    /// A connection of a generation failed.
+    /// Handles a failed connection of a generation.
     pub(crate) fn handle_stream_failure(
         &mut self,
         now: Time,
@@ -103,10 +103,10 @@
                 );
                 self.dispatch(now, out);
             }
-            // A refusal that comes after tokens belongs to a connection given up before.
+            // A refusal after the first token belongs to an abandoned connection.
             Failure::Broken | Failure::NotRun(_) | Failure::Unreachable => {
-                // The first break is answered at once; later ones wait for the silence
-                // bound, so that an endpoint that is down is not asked in a tight loop.
+                // The first failure is followed by an immediate resume, later ones only after
+                // `Limits::silence`, so that a failed endpoint is not polled in a tight loop.
                 if resumes == 0 {
                     self.resume(now, attempt, out);
                 }
@@ -114,11 +114,10 @@
         }
     }
 
-    /// Reads the generation again on a new connection.
+    /// Resumes a generation on a new connection, from the next index.
     ///
-    /// A connection can go silent for good because something between the two ends
-    /// forgot it, while new ones work; one notices tokens stopping with the engine
-    /// still decoding. A second connection from the next index brings the rest.
+    /// A connection can be dropped silently by a middlebox, so that tokens stop arriving
+    /// although the engine is still decoding and new connections work.
     pub(crate) fn resume(&mut self, now: Time, attempt: Attempt, out: &mut Vec<Action>) {
         let Some(run) = self.run(attempt) else {
             return;
@@ -147,7 +146,7 @@
         });
     }
 
-    /// Takes up a generation that another connection began.
+    /// Attaches a request to a generation that was started on another connection.
     pub(crate) fn attach_to_generation(
         &mut self,
         now: Time,
@@ -209,7 +208,7 @@
         });
     }
 
-    /// Counts a token towards the customer's share.
+    /// Charges a token to the customer.
     fn count_served_token(&mut self, key: request::Key) {
         let customer = self.requests[key].customer;
         if let Some(customer) = self.config.customers.get_mut(customer) {
--- a/crates/decision/src/subset.rs
+++ b/crates/decision/src/subset.rs
@@ -1,18 +1,18 @@
-//! The part of the endpoints that one instance works with.
+//! Deterministic subsetting: selects the endpoints that an instance uses.
 //!
-//! At full size every instance with every endpoint would cost instances times
-//! endpoints in load reports and connections. Each instance has a window of the
-//! endpoints of its own failure domain and one of the others, laid evenly around
-//! them by its rank, so that every endpoint lies in a few windows. At today's
-//! sizes a window holds all of them.
+//! If every instance used every endpoint, connections and load reports would grow with the
+//! product of their numbers. Instead, each instance uses one subset of the endpoints in its
+//! own failure domain and one of the endpoints elsewhere. Subsets are contiguous ranges of a
+//! ring, placed evenly by the rank of the instance, so that each endpoint is in several. With
+//! at most [`SUBSET_SIZE`] endpoints, a subset contains all of them.
 
 use crate::{event::Peer, prelude::*, state::digest};
 
-/// Endpoints in each of the two windows.
+/// Number of endpoints in each of the two subsets.
 const SUBSET_SIZE: usize = 24;
 
 impl State {
-    /// Marks the endpoints that lie in this instance's windows.
+    /// Marks the endpoints in the subsets of this instance.
     pub(crate) fn update_subset(&mut self) {
         let local = self.ring(&self.domain, true);
         let remote = self.ring(&self.domain, false);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Digests of the instances in whose windows an endpoint lies, by rendezvous order.
+    /// Name digests of the instances that have an endpoint in a subset, in rendezvous order.
     pub(crate) fn instances_with(&self, endpoint: &Endpoint) -> Vec<u64> {
         let mut rings: Vec<(&str, Vec<u64>)> = Vec::new();
         let mut covering = Vec::new();
@@ -56,7 +56,7 @@
             .collect()
     }
 
-    /// Digests of the endpoints in a failure domain, or outside of it, sorted.
+    /// Sorted name digests of the endpoints in a failure domain, or of all others.
     fn ring(&self, domain: &str, local: bool) -> Vec<u64> {
         let listed = self.endpoints.values();
         let mut ring = listed
@@ -67,7 +67,7 @@
         ring
     }
 
-    /// Ranks of an instance within its failure domain and among all.
+    /// Ranks of an instance in its failure domain and among all instances.
     fn ranks(&self, name: &str, domain: &str) -> (Rank, Rank) {
         let local = || self.peers.iter().filter(|peer| peer.domain == domain);
         let local_rank = Rank {
@@ -82,14 +82,14 @@
     }
 }
 
-/// Place of an instance in an order.
+/// Position of an instance in a sorted list of `count` instances.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
     count: usize,
     position: usize,
 }
 
-/// Whether an endpoint lies in the window that belongs to a rank.
+/// Whether an endpoint is in the subset of a rank.
 fn subset_contains(ring: &[u64], rank: Rank, endpoint: &Endpoint) -> bool {
     let Ok(position) = ring.binary_search(&endpoint.digest) else {
         return false;
--- a/crates/decision/src/time.rs
+++ b/crates/decision/src/time.rs
@@ -1,16 +1,16 @@
-//! Points in time, always passed in as arguments.
+//! Points in time, which are always passed in as arguments.
 
 use crate::prelude::*;
 
 /// Monotonic time in microseconds since the process started.
 ///
-/// Durations and deadlines come from this clock only, so a jump of the wall
-/// clock moves none of them.
+/// Durations and deadlines use only this clock, so that steps of the wall clock do not
+/// affect them.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Time(u64);
 
 impl Time {
-    /// The latest representable time, used for "never".
+    /// The latest representable time, which stands for "never".
     pub const MAX: Self = Self(u64::MAX);
 
     /// Returns the time `duration` later, saturating at [`Self::MAX`].
@@ -39,7 +39,7 @@
         self.0
     }
 
-    /// Time passed since `earlier`, zero if `earlier` lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -48,8 +48,8 @@
 
 /// Wall-clock time in milliseconds since the Unix epoch.
 ///
-/// It labels records and gives the age of order keys, whose birth is wall time
-/// by their format; nothing else is decided by it.
+/// It is used for the age of order keys and log records, which carry wall time, and for
+/// hybrid timestamps.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Wall(pub u64);
 
