--- a/crates/decision/src/config.rs
+++ b/crates/decision/src/config.rs
@@ -130,9 +130,9 @@
         Some(self.credentials[index].1)
     }
 
-    /// Whether a failure domain is out of service.
+    /// Whether a failure domain is disabled.
     #[must_use]
-    pub fn domain_out(&self, domain: &str) -> bool {
+    pub fn domain_disabled(&self, domain: &str) -> bool {
         matches!(self.get(Kind::Domain, domain), Some(Body::Domain(domain)) if domain.out)
     }
 
--- a/crates/decision/src/invariant.rs
+++ b/crates/decision/src/invariant.rs
@@ -11,7 +11,7 @@
     ColdLimit,
     /// Configuration offsets only increase.
     ConfigForward,
-    /// A failure domain out of service, or an endpoint shutting down, gets no new requests.
+    /// A disabled failure domain, or an endpoint shutting down, gets no new requests.
     OutGetsNothing,
     /// A non-idempotent request is sent at most once.
     SentOnce,
--- a/crates/decision/tests/config.rs
+++ b/crates/decision/tests/config.rs
@@ -1,4 +1,4 @@
-//! What is published is in force everywhere alike and never reverts.
+//! Application of configuration records and snapshots.
 
 use decision::{
     config::{ApplyResult, Config},
@@ -19,29 +19,27 @@
     }
 }
 
-/// Two operators change the same failure domain at once. Without a rule each
-/// would believe to have won; the first in the log wins, and the second is told
-/// which record beat it.
+/// Of two concurrent changes of an item, the first in the log is applied, and the second
+/// reports the offset of the first.
 #[test]
-fn the_second_of_two_racing_records_is_beaten_by_name() {
+fn second_of_two_concurrent_changes_conflicts() {
     let mut config = Config::default();
     assert_eq!(config.apply(0, &domain(true, None)), ApplyResult::InForce);
     assert_eq!(
         config.apply(1, &domain(false, Some(0))),
         ApplyResult::InForce
     );
-    let beaten = config.apply(2, &domain(true, Some(0)));
-    let ApplyResult::Conflict { item, winner } = beaten else {
-        panic!("{beaten:?}");
+    let conflict = config.apply(2, &domain(true, Some(0)));
+    let ApplyResult::Conflict { item, winner } = conflict else {
+        panic!("{conflict:?}");
     };
     assert_eq!((item.to_string().as_str(), winner), ("domain.sor", Some(1)));
-    assert!(!config.domain_out("sor"));
+    assert!(!config.domain_disabled("sor"));
 }
 
-/// A record that was read before comes again, from a fellow instance or after a
-/// new connection. Applied again it would take back what came after it.
+/// A record that is received again must not revert later records.
 #[test]
-fn an_old_record_changes_nothing() {
+fn repeated_record_is_ignored() {
     let mut config = Config::default();
     config.apply(0, &domain(true, None));
     config.apply(1, &domain(false, Some(0)));
@@ -49,35 +47,33 @@
         config.apply(0, &domain(true, None)),
         ApplyResult::AlreadyApplied
     );
-    assert!(!config.domain_out("sor"));
+    assert!(!config.domain_disabled("sor"));
     assert_eq!(config.next(), 2);
 }
 
-/// A snapshot older than what is in force comes late, from a fellow instance. It
-/// must not take back what was accepted since; a newer one brings all of it,
-/// removals included.
+/// A snapshot older than the configuration in force must not revert it; a newer one replaces
+/// all of it.
 #[test]
-fn only_a_newer_snapshot_changes_anything() {
+fn only_a_newer_snapshot_is_restored() {
     let mut config = Config::default();
     config.apply(0, &domain(true, None));
     let old = config.snapshot();
     config.apply(1, &domain(false, Some(0)));
     assert!(!config.restore(old.clone()));
-    assert!(!config.domain_out("sor"));
+    assert!(!config.domain_disabled("sor"));
     let mut fresh = Config::default();
     assert!(fresh.restore(config.snapshot()));
-    assert_eq!((fresh.next(), fresh.domain_out("sor")), (2, false));
+    assert_eq!((fresh.next(), fresh.domain_disabled("sor")), (2, false));
     let mut behind = Config::default();
     assert!(behind.restore(old));
-    assert!(behind.domain_out("sor"));
+    assert!(behind.domain_disabled("sor"));
     assert!(behind.restore(config.snapshot()));
-    assert!(!behind.domain_out("sor"));
+    assert!(!behind.domain_disabled("sor"));
 }
 
-/// A record changes two items and lost the race for one. Half of it in force would
-/// be a configuration that nobody published.
+/// If one change of a record conflicts, the others must not be applied either.
 #[test]
-fn a_record_is_in_force_whole_or_not_at_all() {
+fn conflicting_record_is_not_applied_partially() {
     let mut config = Config::default();
     config.apply(0, &domain(true, None));
     let mut both = domain(false, Some(0));
@@ -93,5 +89,5 @@
         config.apply(1, &both),
         ApplyResult::Conflict { winner: None, .. }
     ));
-    assert!(config.domain_out("sor"));
+    assert!(config.domain_disabled("sor"));
 }
--- a/crates/decision/tests/fairness.rs
+++ b/crates/decision/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! Turns between customers.
+//! Fairness between customers and between models.
 
 use {
     bytes::Bytes,
@@ -65,7 +65,7 @@
     state
 }
 
-/// Lists one engine for each model, and lets this instance have parts of both.
+/// Lists one warm engine for each model, with the given KV-cache capacity in tokens.
 fn open(state: &mut State, rooms: [(&str, u64); 2]) {
     let now = Time::from_micros(1_000_000);
     let member = |name: &str| Member {
@@ -122,11 +122,10 @@
     state.step(now, Wall(0), Event::Claims(vec![batch]), &mut out);
 }
 
-/// A hundred drafts wait for a model whose engine is full, and then somebody asks
-/// another model for a check. Its engine is idle; the organiser must not wait
-/// behind drafts that have nothing to do with it.
+/// More requests than one dispatch searches for wait for a model without capacity. A request
+/// for another model, whose engine is idle, must still be sent at once.
 #[test]
-fn a_check_for_an_idle_model_does_not_wait_behind_drafts_for_a_full_one() {
+fn request_for_idle_model_is_not_blocked_by_saturated_model() {
     let mut state = state();
     open(&mut state, [("m", 0), ("n", 100_000)]);
     let now = Time::from_micros(1_000_000);
@@ -165,14 +164,13 @@
     state.arrive(now, Wall(0), arrival, &mut Vec::new());
 }
 
-/// A customer comes back after a quiet day, while another has been served all the
-/// time. Were the quiet day counted as a claim, the other one would wait until it
-/// was used up; the two take turns from here on.
+/// The counter of a customer that returns after an idle period is raised to the lowest active
+/// one; otherwise it would be served before all others until it had caught up.
 #[test]
-fn a_customer_who_was_away_takes_turns_from_now_on() {
+fn returning_customer_starts_at_the_lowest_active_share() {
     let mut state = state();
     let busy = state.config.customer(&[2; 32]).expect("it is published");
-    let away = state.config.customer(&[1; 32]).expect("it is published");
+    let returning = state.config.customer(&[1; 32]).expect("it is published");
     state.config.customers[busy].served = 5_000.0;
     let request = decision::request::Request {
         arrived_at: Time::default(),
@@ -189,5 +187,5 @@
     };
     state.requests.insert(request);
     arrive(&mut state, 1);
-    assert!((state.config.customers[away].served - 5_000.0).abs() < f64::EPSILON);
+    assert!((state.config.customers[returning].served - 5_000.0).abs() < f64::EPSILON);
 }
--- a/crates/decision/tests/histories.rs
+++ b/crates/decision/tests/histories.rs
@@ -1,7 +1,7 @@
-//! Long randomised runs of the shipped decisions.
+//! Randomized fault-injection tests of the decision logic.
 //!
-//! `HISTORIES` sets their number, `SEED` what they are drawn from, so that a long
-//! run is `HISTORIES=1000000 SEED=7 cargo test --release -p decision --test histories`.
+//! The environment variables `HISTORIES` and `SEED` set the number of histories and the seed:
+//! `HISTORIES=1000000 SEED=7 cargo test --release -p decision --test histories`.
 
 mod world;
 
@@ -15,27 +15,27 @@
     world::{Op, World},
 };
 
-/// Histories run where the environment names no number.
-const HISTORIES: u32 = 10_000;
+/// Number of histories if `HISTORIES` is not set.
+const DEFAULT_HISTORIES: u32 = 10_000;
 
-/// Seed where the environment names none.
-const SEED: u64 = 20_261_203;
+/// Seed if `SEED` is not set.
+const DEFAULT_SEED: u64 = 20_261_203;
 
 fn op() -> impl Strategy<Value = Op> {
-    let place = 0..64_usize;
+    let index = 0..64_usize;
     prop_oneof![
         1 => (0..3_usize).prop_map(Op::Crash),
-        14 => place.clone().prop_map(Op::Deliver),
+        14 => index.clone().prop_map(Op::Deliver),
         3 => (0..3_usize).prop_map(Op::Generate),
         1 => (0..3_usize, 0..3_usize).prop_map(|(core, missing)| Op::Lag(core, missing)),
-        1 => place.clone().prop_map(Op::Leave),
-        3 => place.clone().prop_map(Op::Lose),
+        1 => index.clone().prop_map(Op::Leave),
+        3 => index.clone().prop_map(Op::Lose),
         5 => (0..3_usize, 0..8_usize, prop::bool::weighted(0.1)).prop_map(|(c, k, b)| Op::Order(c, k, b)),
         1 => prop::bool::weighted(0.3).prop_map(Op::Outage),
         1 => Just(Op::Publish),
         8 => (0..3_usize, 0..4_usize).prop_map(|(core, most)| Op::Read(core, most)),
-        2 => (0..3_usize, 0..8_usize).prop_map(|(core, place)| Op::Relay(core, place)),
-        2 => place.prop_map(Op::Repeat),
+        2 => (0..3_usize, 0..8_usize).prop_map(|(core, index)| Op::Relay(core, index)),
+        2 => index.prop_map(Op::Repeat),
         1 => Just(Op::Restart),
         10 => (1..600_u64).prop_map(Op::Tick),
         1 => (1_000..9_000_u64).prop_map(Op::Tick),
@@ -43,7 +43,7 @@
     ]
 }
 
-/// Work that meets an engine which starts again and again, and little else.
+/// Operations that send generations to an engine that restarts often, with few other faults.
 fn cold_op() -> impl Strategy<Value = Op> {
     prop_oneof![
         12 => (0..64_usize).prop_map(Op::Deliver),
@@ -63,25 +63,27 @@
     value.unwrap_or(default)
 }
 
-/// Messages get lost, come late, twice and crossed; instances pause, die and come
-/// back; the log goes away and loses its answers. A user would notice an order
-/// run twice, a refusal that lies, a word missing or doubled, a request without
-/// an answer, an engine thrown over at its start. None may occur in any history.
+/// Messages are lost, delayed, duplicated and reordered; instances crash; the log becomes
+/// unavailable and loses acknowledgements. No order may run twice, no request that ran be
+/// reported as not run, no token be missing or repeated, no request go unanswered, and no cold
+/// engine be overloaded.
 #[test]
-fn no_history_breaks_a_promise() {
-    run(&vec(op(), 1..120), setting("HISTORIES", HISTORIES));
+fn invariants_hold_in_random_histories() {
+    run(&vec(op(), 1..120), setting("HISTORIES", DEFAULT_HISTORIES));
 }
 
-/// Three instances have work for an engine that bears two requests after each of
-/// its starts, and they learn of a start at different times. One request more
-/// than it bears throws it over, and users see their streams cut.
+/// Three instances that learn of an engine's restart at different times must together not
+/// exceed its limit of two concurrent requests while it is cold.
 #[test]
-fn no_history_overruns_a_cold_engine() {
-    run(&vec(cold_op(), 1..120), setting("HISTORIES", HISTORIES) / 2);
+fn cold_engine_limit_holds_in_random_histories() {
+    run(
+        &vec(cold_op(), 1..120),
+        setting("HISTORIES", DEFAULT_HISTORIES) / 2,
+    );
 }
 
 fn run(ops: &impl Strategy<Value = Vec<Op>>, cases: u32) {
-    let seed = setting("SEED", SEED);
+    let seed = setting("SEED", DEFAULT_SEED);
     println!("{cases} histories from seed {seed}");
     let config = ProptestConfig {
         cases,
--- a/crates/decision/tests/repeats.rs
+++ b/crates/decision/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Orders sent again to an endpoint that knows its keys.
+//! Retries of orders at an endpoint that deduplicates them.
 
 use {
     bytes::Bytes,
@@ -21,30 +21,30 @@
     std::time::Duration,
 };
 
-/// Wall time of the test, in milliseconds.
-const WALL: u64 = 1_800_000_000_000;
+/// Wall time of the test, in milliseconds since the Unix epoch.
+const WALL_MS: u64 = 1_800_000_000_000;
 
-struct Desk {
+struct Harness {
     now: Time,
     out: Vec<Action>,
     state: State,
 }
 
-impl Desk {
+impl Harness {
     fn new() -> Self {
-        let mut desk = Self {
+        let mut harness = Self {
             now: Time::from_micros(1_000_000),
             out: Vec::new(),
             state: State::new("entry", "north", Limits::default(), 1),
         };
-        desk.step(Event::Configured(ConfigRecord {
+        harness.step(Event::Configured(ConfigRecord {
             data: Bytes::new(),
             offset: 0,
             record: record(),
         }));
-        desk.step(Event::ConfigCaughtUp(desk.now));
-        desk.step(Event::ClaimsCoveredFrom(Wall(0)));
-        desk.step(Event::ClaimsCaughtUp(desk.now));
+        harness.step(Event::ConfigCaughtUp(harness.now));
+        harness.step(Event::ClaimsCoveredFrom(Wall(0)));
+        harness.step(Event::ClaimsCaughtUp(harness.now));
         let member = Member {
             name: "desk".to_string(),
             address: "desk".to_string(),
@@ -52,7 +52,7 @@
             kind: EndpointKind::Service("desk".to_string()),
             leaving: false,
         };
-        desk.step(Event::Listed(vec![member], Vec::new()));
+        harness.step(Event::Listed(vec![member], Vec::new()));
         let take = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
@@ -65,18 +65,19 @@
                 incarnation: digest("desk"),
             })
         });
-        desk.step(Event::Claims(vec![batch::Batch {
+        harness.step(Event::Claims(vec![batch::Batch {
             entries: entries.to_vec(),
             instance: 1,
         }]));
-        desk
+        harness
     }
 
     fn step(&mut self, event: Event) {
-        self.state.step(self.now, Wall(WALL), event, &mut self.out);
+        self.state
+            .step(self.now, Wall(WALL_MS), event, &mut self.out);
     }
 
-    /// Places an order, lets its claim into the log and returns its first attempt.
+    /// Submits an order, commits its claim to the log and returns its first attempt.
     fn order(&mut self) -> Attempt {
         let arrival = Arrival {
             credential: [1; 32],
@@ -85,13 +86,13 @@
                 idempotent: false,
                 order: Some(Order {
                     body: 1,
-                    uuid: u128::from(WALL) << 80,
+                    uuid: u128::from(WALL_MS) << 80,
                 }),
                 service: "desk".to_string(),
             },
         };
         self.state
-            .arrive(self.now, Wall(WALL), arrival, &mut self.out);
+            .arrive(self.now, Wall(WALL_MS), arrival, &mut self.out);
         self.state.flush(self.now, &mut self.out);
         let batches = self.out.drain(..).filter_map(|action| match action {
             Action::Append(batch) => Some(batch),
@@ -138,33 +139,32 @@
     }
 }
 
-/// The first answer is lost, and the desk is gone when it is asked again. That the
-/// second try reached nobody does not make the first one unsent: the organiser is
-/// told that the badge may have been printed, not that it was not.
+/// The first attempt may have run, so evidence that the retry did not run must not finish the
+/// order as not run.
 #[test]
-fn a_second_try_that_reached_nobody_does_not_unsend_the_first() {
-    let mut desk = Desk::new();
-    let first = desk.order();
-    desk.step(Event::Failed(first, Failure::Broken));
-    let second = desk
+fn retry_that_did_not_run_does_not_refuse_the_order_as_not_run() {
+    let mut harness = Harness::new();
+    let first = harness.order();
+    harness.step(Event::Failed(first, Failure::Broken));
+    let second = harness
         .sent()
         .expect("the desk that knows its keys is asked again");
-    let nobody = Failure::NotRun(Evidence::NothingWritten);
-    desk.step(Event::Failed(second, nobody));
-    let ends = desk.out.drain(..).filter_map(|action| match action {
+    let not_run = Failure::NotRun(Evidence::NothingWritten);
+    harness.step(Event::Failed(second, not_run));
+    let outcomes = harness.out.drain(..).filter_map(|action| match action {
         Action::Finish(_, outcome) => Some(outcome),
         _ => None,
     });
-    let ends = ends.collect::<Vec<_>>();
+    let outcomes = outcomes.collect::<Vec<_>>();
     assert!(
-        matches!(ends.as_slice(), [Outcome::MayHaveRun(_)]),
-        "{ends:?}"
+        matches!(outcomes.as_slice(), [Outcome::MayHaveRun(_)]),
+        "{outcomes:?}"
     );
-    // A void would free the key, and a repeat would print the badge again.
-    desk.step(Event::Appended(batch::AppendResult::Done));
-    desk.now = desk.now.after(Duration::from_secs(1));
-    desk.state.flush(desk.now, &mut desk.out);
-    let appended = format!("{:?}", desk.out);
+    // Voiding the claim would free the key, and a repeated order would run again.
+    harness.step(Event::Appended(batch::AppendResult::Done));
+    harness.now = harness.now.after(Duration::from_secs(1));
+    harness.state.flush(harness.now, &mut harness.out);
+    let appended = format!("{:?}", harness.out);
     assert!(
         appended.contains("Lost") && !appended.contains("Void"),
         "{appended}"
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Three cores against one in-memory log and counting endpoints.
+//! Simulation of three instances (cores) with an in-memory log and endpoints.
 
 use {
     bytes::Bytes,
@@ -23,64 +23,64 @@
     std::time::Duration,
 };
 
-/// Wall time at which every history begins, in milliseconds.
-const START: u64 = 1_800_000_000_000;
+/// Wall time at the start of a history, in milliseconds since the Unix epoch.
+const START_WALL_MS: u64 = 1_800_000_000_000;
 
-/// Requests that the engine bears while cold.
-const COLD: u32 = 2;
+/// Concurrent requests that the engine allows while cold, over all instances.
+const COLD_LIMIT: u32 = 2;
 
 const CORES: usize = 3;
 const CREDENTIAL: [u8; 32] = [7; 32];
 
-/// What a history is made of.
+/// An operation of a history.
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
-    /// An instance dies and another one takes its name.
+    /// An instance crashes and is replaced by one with the same name.
     Crash(usize),
-    /// A message in flight arrives.
+    /// A pending message is delivered.
     Deliver(usize),
-    /// A connection breaks, or the answer of an append is lost.
+    /// A connection breaks, or the acknowledgement of an append is lost.
     Lose(usize),
-    /// A generation is asked for.
+    /// A generation is requested.
     Generate(usize),
-    /// The caller of a request leaves.
+    /// The caller of a request disconnects.
     Leave(usize),
-    /// The engine starts anew, without a word.
+    /// The engine restarts without notice.
     Restart,
-    /// An order is placed: which core, which key, which body.
+    /// An order is submitted: core, key, whether with another body.
     Order(usize, usize, bool),
-    /// Operators take the failure domain out, or back in.
+    /// Operators disable the failure domain, or enable it again.
     Publish,
-    /// The log refuses everything, or takes appends again.
+    /// The log becomes unavailable, or available again.
     Outage(bool),
-    /// A core reads some records of the log.
+    /// A core reads up to a number of batches from the log.
     Read(usize, usize),
-    /// A fellow hands a core some configuration record, old or new.
+    /// A peer sends a core a configuration record, old or new.
     Relay(usize, usize),
-    /// A message in flight arrives, and once more later.
+    /// A pending message is delivered, and again later.
     Repeat(usize),
-    /// The instance list of a core lags: one instance is missing from it for a while.
+    /// The instance list of a core lags, so that one instance is missing for a while.
     Lag(usize, usize),
-    /// Time passes at every core, in milliseconds.
+    /// Time passes, in milliseconds.
     Tick(u64),
-    /// The log drops records that grew old.
+    /// The log drops its oldest batches.
     Trim(usize),
 }
 
-/// A message in flight.
+/// A pending message, with the core and its epoch.
 #[derive(Clone, Debug)]
 enum Message {
-    /// An append on its way to the log.
+    /// An append to the log.
     Append(usize, u64, Batch),
-    /// Something on its way to a core of this life.
-    Event(usize, u64, Event2),
-    /// A request on its way to an endpoint.
+    /// A reply to a core, dropped if its epoch has changed.
+    Event(usize, u64, Reply),
+    /// A request to an endpoint.
     Send(usize, u64, Attempt, Job),
 }
 
-/// Events that can be copied.
+/// Replies of the log and the endpoints, which can be duplicated.
 #[derive(Clone, Debug)]
-enum Event2 {
+enum Reply {
     Answered(Attempt, Answer),
     Appended(AppendResult),
     Ended(Attempt, u32),
@@ -88,7 +88,7 @@
     Token(Attempt, u32),
 }
 
-/// What an endpoint is asked to do.
+/// Work sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Job {
     Generate,
@@ -97,63 +97,63 @@
 }
 
 struct Core {
-    life: u64,
-    lagging: Option<u64>,
+    epoch: u64,
+    lagging_since: Option<u64>,
     read: Option<usize>,
     state: State,
 }
 
-/// A request as its caller sees it.
-struct Asked {
+/// A request as observed by its caller.
+struct CallerRequest {
     core: usize,
     ended: bool,
     key: request::Key,
-    life: u64,
+    epoch: u64,
     order: Option<(u128, bool)>,
     generation: Option<generation::Id>,
     next: u32,
     sent: u32,
 }
 
-/// The world of one history.
+/// Simulation state of one history.
 pub struct World {
-    asked: Vec<Asked>,
-    begun: Vec<generation::Id>,
-    cold: Vec<(usize, u64, generation::Id)>,
+    requests: Vec<CallerRequest>,
+    started: Vec<generation::Id>,
+    cold_requests: Vec<(usize, u64, generation::Id)>,
     cores: Vec<Core>,
-    flight: Vec<Message>,
-    lives: u64,
+    pending: Vec<Message>,
+    epochs: u64,
     config: Vec<ConfigRecord>,
-    first: usize,
+    log_start: usize,
     log: Vec<(Wall, Batch)>,
-    now: u64,
+    now_ms: u64,
     outage: bool,
-    runs: Vec<(u128, bool)>,
-    incarnation: u64,
-    /// Faults that were put in, by kind: lost, repeated, crashed, outages, restarts.
+    order_runs: Vec<(u128, bool)>,
+    engine_incarnation: u64,
+    /// Injected faults by kind: lost, repeated, crashed, outages, restarts.
     pub faults: [u64; 5],
 }
 
 impl World {
     pub fn new() -> Self {
         let mut world = Self {
-            asked: Vec::new(),
-            begun: Vec::new(),
-            cold: Vec::new(),
+            requests: Vec::new(),
+            started: Vec::new(),
+            cold_requests: Vec::new(),
             cores: Vec::new(),
             faults: [0; 5],
-            flight: Vec::new(),
-            lives: 0,
+            pending: Vec::new(),
+            epochs: 0,
             config: vec![line(0, record())],
-            first: 0,
+            log_start: 0,
             log: Vec::new(),
-            now: 1_000_000,
+            now_ms: 1_000_000,
             outage: false,
-            runs: Vec::new(),
-            incarnation: 1,
+            order_runs: Vec::new(),
+            engine_incarnation: 1,
         };
         for core in 0..CORES {
-            let fresh = world.fresh(core);
+            let fresh = world.new_instance(core);
             world.cores.push(fresh);
         }
         for core in 0..CORES {
@@ -162,44 +162,45 @@
         world
     }
 
-    /// Carries out one operation and checks what must hold.
+    /// Applies an operation and checks the invariants.
     pub fn apply(&mut self, op: Op) {
         match op {
             Op::Crash(core) => self.crash(core % CORES),
-            Op::Deliver(place) => self.deliver(place, false),
-            Op::Generate(core) => self.ask(core % CORES, None, false),
+            Op::Deliver(index) => self.deliver(index, false),
+            Op::Generate(core) => self.submit(core % CORES, None, false),
             Op::Lag(core, missing) => self.list(core % CORES, Some(missing % CORES)),
-            Op::Leave(place) => self.leave(place),
-            Op::Lose(place) => self.lose(place),
-            Op::Order(core, key, other) => self.ask(core % CORES, Some(key % 8), other),
+            Op::Leave(index) => self.leave(index),
+            Op::Lose(index) => self.lose(index),
+            Op::Order(core, key, other) => self.submit(core % CORES, Some(key % 8), other),
             Op::Outage(outage) => {
                 self.faults[3] += u64::from(outage && !self.outage);
                 self.outage = outage;
             }
             Op::Publish => self.publish(),
             Op::Read(core, most) => self.read(core % CORES, most % 4),
-            Op::Relay(core, place) => {
-                let line = self.config[place % self.config.len()].clone();
+            Op::Relay(core, index) => {
+                let line = self.config[index % self.config.len()].clone();
                 self.step(core % CORES, Event::Configured(line));
             }
-            Op::Repeat(place) => self.deliver(place, true),
+            Op::Repeat(index) => self.deliver(index, true),
             Op::Restart => {
                 self.faults[4] += 1;
-                self.incarnation += 1;
-                self.cold.clear();
+                self.engine_incarnation += 1;
+                self.cold_requests.clear();
             }
             Op::Tick(millis) => self.tick(millis),
-            Op::Trim(count) => self.first = self.log.len().min(self.first + count % 8),
+            Op::Trim(count) => self.log_start = self.log.len().min(self.log_start + count % 8),
         }
         self.check();
     }
 
-    /// Lets everything arrive and every deadline pass; each request must have ended.
+    /// Delivers all messages and lets all deadlines pass; then checks that every request of a
+    /// core that did not crash has ended.
     pub fn settle(&mut self) {
         self.outage = false;
         for _ in 0..40 {
             for _ in 0..400 {
-                if self.flight.is_empty() {
+                if self.pending.is_empty() {
                     break;
                 }
                 self.apply(Op::Deliver(0));
@@ -209,23 +210,28 @@
             }
             self.apply(Op::Tick(1_000));
         }
-        for asked in &self.asked {
-            let alive = self.cores[asked.core].life == asked.life;
-            assert!(asked.ended || !alive, "a request was never answered");
+        for request in &self.requests {
+            let alive = self.cores[request.core].epoch == request.epoch;
+            assert!(request.ended || !alive, "a request was never answered");
         }
     }
 
     fn check(&self) {
-        for (place, run) in self.runs.iter().enumerate() {
-            let again = self.runs[place + 1..].iter().any(|(key, _)| *key == run.0);
+        for (index, run) in self.order_runs.iter().enumerate() {
+            let again = self.order_runs[index + 1..]
+                .iter()
+                .any(|(key, _)| *key == run.0);
             assert!(!again, "an order ran twice");
         }
-        let cold = u32::try_from(self.cold.len()).expect("a short history");
-        assert!(cold <= COLD, "the cold engine got {cold} requests at once");
+        let cold = u32::try_from(self.cold_requests.len()).expect("a short history");
+        assert!(
+            cold <= COLD_LIMIT,
+            "the cold engine got {cold} requests at once"
+        );
     }
 
-    fn fresh(&mut self, core: usize) -> Core {
-        self.lives += 1;
+    fn new_instance(&mut self, core: usize) -> Core {
+        self.epochs += 1;
         let limits = Limits {
             deadline: Duration::from_secs(20),
             order_window: Duration::from_mins(1),
@@ -233,7 +239,7 @@
             skew: Duration::from_secs(1),
             ..Limits::default()
         };
-        let mut state = State::new(&format!("entry-{core}"), "north", limits, self.lives);
+        let mut state = State::new(&format!("entry-{core}"), "north", limits, self.epochs);
         let (now, wall) = self.clock();
         let mut out = Vec::new();
         let peers = (0..CORES).map(peer);
@@ -245,23 +251,26 @@
             state.step(now, wall, event, &mut out);
         }
         Core {
-            lagging: None,
-            life: self.lives,
+            lagging_since: None,
+            epoch: self.epochs,
             read: None,
             state,
         }
     }
 
     fn clock(&self) -> (Time, Wall) {
-        (Time::from_micros(self.now * 1000), Wall(START + self.now))
+        (
+            Time::from_micros(self.now_ms * 1000),
+            Wall(START_WALL_MS + self.now_ms),
+        )
     }
 
-    fn ask(&mut self, core: usize, key: Option<usize>, other: bool) {
+    fn submit(&mut self, core: usize, key: Option<usize>, other: bool) {
         let (now, wall) = self.clock();
-        // Two keys are new at a time, and older ones are used again.
+        // Keys 0 to 3 are recent, 4 and 5 about 20 s old, 6 and 7 beyond the order window.
         let uuid = key.map(|key| {
             let age = [0, 0, 20_000, 90_000][key / 2];
-            let birth = (START + self.now).saturating_sub(age) / 20_000 * 20_000;
+            let birth = (START_WALL_MS + self.now_ms).saturating_sub(age) / 20_000 * 20_000;
             (u128::from(birth) << 80) | (key % 2) as u128
         });
         let work = match uuid {
@@ -287,12 +296,12 @@
         let mut out = Vec::new();
         let target = &mut self.cores[core];
         let key = target.state.arrive(now, wall, arrival, &mut out);
-        self.asked.push(Asked {
+        self.requests.push(CallerRequest {
             core,
             ended: false,
             generation: None,
             key,
-            life: target.life,
+            epoch: target.epoch,
             next: 0,
             order: uuid.map(|uuid| (uuid, other)),
             sent: 0,
@@ -302,27 +311,27 @@
 
     fn crash(&mut self, core: usize) {
         self.faults[2] += 1;
-        let fresh = self.fresh(core);
-        let life = std::mem::replace(&mut self.cores[core], fresh).life;
-        self.cold
-            .retain(|(owner, owned, _)| (*owner, *owned) != (core, life));
+        let fresh = self.new_instance(core);
+        let epoch = std::mem::replace(&mut self.cores[core], fresh).epoch;
+        self.cold_requests
+            .retain(|(owner, owned, _)| (*owner, *owned) != (core, epoch));
     }
 
-    fn deliver(&mut self, place: usize, again: bool) {
-        if self.flight.is_empty() {
+    fn deliver(&mut self, index: usize, again: bool) {
+        if self.pending.is_empty() {
             return;
         }
-        let place = place % self.flight.len();
-        let message = self.flight.remove(place);
+        let index = index % self.pending.len();
+        let message = self.pending.remove(index);
         if again && matches!(message, Message::Append(..) | Message::Event(..)) {
             self.faults[1] += 1;
-            let answer = matches!(message, Message::Event(_, _, Event2::Appended(_)));
+            let answer = matches!(message, Message::Event(_, _, Reply::Appended(_)));
             if !answer {
-                self.flight.push(message.clone());
+                self.pending.push(message.clone());
             }
         }
         match message {
-            Message::Append(core, life, batch) => {
+            Message::Append(core, epoch, batch) => {
                 let sent = if self.outage {
                     AppendResult::Refused
                 } else {
@@ -331,15 +340,15 @@
                 if sent == AppendResult::Done {
                     self.append(batch);
                 }
-                self.flight
-                    .push(Message::Event(core, life, Event2::Appended(sent)));
+                self.pending
+                    .push(Message::Event(core, epoch, Reply::Appended(sent)));
             }
-            Message::Event(core, life, event) => {
-                if self.cores[core].life == life {
+            Message::Event(core, epoch, event) => {
+                if self.cores[core].epoch == epoch {
                     self.step(core, event.event());
                 }
             }
-            Message::Send(core, life, attempt, job) => self.serve(core, life, attempt, job),
+            Message::Send(core, epoch, attempt, job) => self.serve(core, epoch, attempt, job),
         }
     }
 
@@ -348,7 +357,7 @@
         self.log.push((wall, batch));
     }
 
-    /// Odd offsets take the failure domain out, even ones back in.
+    /// Odd offsets disable the failure domain, even ones enable it again.
     fn publish(&mut self) {
         let offset = self.config.len() as u64;
         let change = Change {
@@ -368,73 +377,71 @@
         self.config.push(line(offset, record));
     }
 
-    /// An endpoint takes a request.
-    fn serve(&mut self, core: usize, life: u64, attempt: Attempt, job: Job) {
-        let mut answer = |event| self.flight.push(Message::Event(core, life, event));
+    /// Handles a request at an endpoint.
+    fn serve(&mut self, core: usize, epoch: u64, attempt: Attempt, job: Job) {
+        let mut answer = |event| self.pending.push(Message::Event(core, epoch, event));
         match job {
             Job::Order(key, other) => {
-                self.runs.push((key, other));
-                answer(Event2::Answered(attempt, printed(key)));
+                self.order_runs.push((key, other));
+                answer(Reply::Answered(attempt, expected_answer(key)));
             }
-            Job::Resume(_) if !self.begun.contains(&attempt.generation) => {
-                answer(Event2::Failed(attempt, Failure::Forgotten));
+            Job::Resume(_) if !self.started.contains(&attempt.generation) => {
+                answer(Reply::Failed(attempt, Failure::Forgotten));
             }
             Job::Generate | Job::Resume(_) => {
-                self.begun.push(attempt.generation);
+                self.started.push(attempt.generation);
                 let first = if let Job::Resume(next) = job { next } else { 0 };
                 for index in first..3 {
-                    answer(Event2::Token(attempt, index));
+                    answer(Reply::Token(attempt, index));
                 }
-                answer(Event2::Ended(attempt, 3));
+                answer(Reply::Ended(attempt, 3));
             }
         }
     }
 
-    fn leave(&mut self, place: usize) {
-        if self.asked.is_empty() {
+    fn leave(&mut self, index: usize) {
+        if self.requests.is_empty() {
             return;
         }
-        let place = place % self.asked.len();
-        let (core, key) = (self.asked[place].core, self.asked[place].key);
-        if self.cores[core].life == self.asked[place].life && !self.asked[place].ended {
+        let index = index % self.requests.len();
+        let (core, key) = (self.requests[index].core, self.requests[index].key);
+        if self.cores[core].epoch == self.requests[index].epoch && !self.requests[index].ended {
             self.step(core, Event::CallerDisconnected(key));
         }
     }
 
-    fn lose(&mut self, place: usize) {
-        if self.flight.is_empty() {
+    fn lose(&mut self, index: usize) {
+        if self.pending.is_empty() {
             return;
         }
         self.faults[0] += 1;
-        let place = place % self.flight.len();
-        let message = self.flight.remove(place);
+        let index = index % self.pending.len();
+        let message = self.pending.remove(index);
         let event = match message {
-            // Nothing was written: the connection was refused.
-            Message::Send(core, life, attempt, Job::Generate | Job::Order(..)) => {
+            // The connection was refused, so nothing was written.
+            Message::Send(core, epoch, attempt, Job::Generate | Job::Order(..)) => {
                 let failure = Failure::NotRun(Evidence::NothingWritten);
-                Message::Event(core, life, Event2::Failed(attempt, failure))
+                Message::Event(core, epoch, Reply::Failed(attempt, failure))
             }
-            Message::Send(core, life, attempt, Job::Resume(_)) => {
-                Message::Event(core, life, Event2::Failed(attempt, Failure::Unreachable))
+            Message::Send(core, epoch, attempt, Job::Resume(_)) => {
+                Message::Event(core, epoch, Reply::Failed(attempt, Failure::Unreachable))
             }
-            // The append may take effect while its answer is lost.
-            Message::Append(core, life, batch) => {
+            // The append takes effect, but its acknowledgement is lost.
+            Message::Append(core, epoch, batch) => {
                 self.append(batch);
-                Message::Event(core, life, Event2::Appended(AppendResult::Lost))
+                Message::Event(core, epoch, Reply::Appended(AppendResult::Lost))
             }
-            Message::Event(core, life, Event2::Appended(_)) => {
-                Message::Event(core, life, Event2::Appended(AppendResult::Lost))
+            Message::Event(core, epoch, Reply::Appended(_)) => {
+                Message::Event(core, epoch, Reply::Appended(AppendResult::Lost))
             }
             Message::Event(
                 core,
-                life,
-                Event2::Token(attempt, _)
-                | Event2::Answered(attempt, _)
-                | Event2::Ended(attempt, _),
-            ) => Message::Event(core, life, Event2::Failed(attempt, Failure::Broken)),
-            failed @ Message::Event(_, _, Event2::Failed(..)) => failed,
+                epoch,
+                Reply::Token(attempt, _) | Reply::Answered(attempt, _) | Reply::Ended(attempt, _),
+            ) => Message::Event(core, epoch, Reply::Failed(attempt, Failure::Broken)),
+            failed @ Message::Event(_, _, Reply::Failed(..)) => failed,
         };
-        self.flight.push(event);
+        self.pending.push(event);
     }
 
     fn read(&mut self, core: usize, most: usize) {
@@ -442,12 +449,12 @@
             return;
         }
         let (now, wall) = self.clock();
-        let begun = self.cores[core].read.is_some();
-        let from = self.cores[core].read.unwrap_or(0).max(self.first);
-        if !begun && self.first == 0 {
+        let has_read = self.cores[core].read.is_some();
+        let from = self.cores[core].read.unwrap_or(0).max(self.log_start);
+        if !has_read && self.log_start == 0 {
             self.step(core, Event::ClaimsCoveredFrom(Wall(0)));
-        } else if self.cores[core].read.unwrap_or(0) < self.first {
-            let kept = self.log.get(self.first).map_or(wall, |(at, _)| *at);
+        } else if self.cores[core].read.unwrap_or(0) < self.log_start {
+            let kept = self.log.get(self.log_start).map_or(wall, |(at, _)| *at);
             self.step(core, Event::ClaimsCoveredFrom(kept));
         }
         let until = self.log.len().min(from.saturating_add(most));
@@ -468,10 +475,10 @@
         let report = Report {
             capacity: 10_000,
             models: vec!["survey-1".to_string()],
-            incarnation: self.incarnation,
+            incarnation: self.engine_incarnation,
             ..Report::default()
         };
-        let other = self.named(core, "other");
+        let other = self.endpoint_by_name(core, "other");
         let steady = Report {
             capacity: 8,
             incarnation: 1,
@@ -482,27 +489,27 @@
     }
 
     fn list(&mut self, core: usize, missing: Option<usize>) {
-        self.cores[core].lagging = missing.map(|_missing| self.now);
+        self.cores[core].lagging_since = missing.map(|_missing| self.now_ms);
         let seen = (0..CORES).filter(|number| *number == core || Some(*number) != missing);
         let event = Event::Listed(members(), seen.map(peer).collect());
         self.step(core, event);
     }
 
     fn engine(&self, core: usize) -> endpoint::Key {
-        self.named(core, "engine")
+        self.endpoint_by_name(core, "engine")
     }
 
-    fn named(&self, core: usize, name: &str) -> endpoint::Key {
+    fn endpoint_by_name(&self, core: usize, name: &str) -> endpoint::Key {
         let mut endpoints = self.cores[core].state.endpoints.iter();
         let found = endpoints.find(|(_, endpoint)| endpoint.member.name == name);
         found.expect("the endpoint is listed").0
     }
 
     fn tick(&mut self, millis: u64) {
-        self.now += millis;
+        self.now_ms += millis;
         for core in 0..CORES {
-            let since = self.cores[core].lagging;
-            if since.is_some_and(|since| self.now - since > 15_000) {
+            let since = self.cores[core].lagging_since;
+            if since.is_some_and(|since| self.now_ms - since > 15_000) {
                 self.list(core, None);
             }
         }
@@ -519,16 +526,17 @@
     }
 
     fn perform(&mut self, core: usize, actions: Vec<Action>) {
-        let life = self.cores[core].life;
+        let epoch = self.cores[core].epoch;
         for action in actions {
             match action {
-                Action::Append(batch) => self.flight.push(Message::Append(core, life, batch)),
+                Action::Append(batch) => self.pending.push(Message::Append(core, epoch, batch)),
                 Action::Cancel { generation, .. } => {
-                    self.cold.retain(|(_, _, held)| *held != generation);
+                    self.cold_requests
+                        .retain(|(_, _, held)| *held != generation);
                 }
                 Action::Deliver(key, index, data) => {
-                    let asked = self.asked(core, key);
-                    let sender = asked
+                    let request = self.request(core, key);
+                    let sender = request
                         .generation
                         .map(|generation| generation.0.to_le_bytes());
                     assert_eq!(
@@ -536,76 +544,77 @@
                         Some(&*data),
                         "a token of another generation came"
                     );
-                    assert_eq!(asked.next, index, "a token came twice or out of order");
-                    asked.next += 1;
+                    assert_eq!(request.next, index, "a token came twice or out of order");
+                    request.next += 1;
                 }
                 Action::Detach(_) | Action::Gossip(_) | Action::Poll(_) | Action::Snapshot(_) => {}
                 Action::Finish(key, outcome) => self.finish(core, key, outcome),
                 Action::Resume { attempt, next, .. } => {
                     let job = Job::Resume(next);
-                    self.flight.push(Message::Send(core, life, attempt, job));
+                    self.pending.push(Message::Send(core, epoch, attempt, job));
                 }
                 Action::Send {
                     attempt, endpoint, ..
                 } => self.send(core, attempt, endpoint),
             }
         }
-        self.release(core, life);
+        self.release(core, epoch);
     }
 
     fn send(&mut self, core: usize, attempt: Attempt, endpoint: endpoint::Key) {
-        let life = self.cores[core].life;
+        let epoch = self.cores[core].epoch;
         let engine = endpoint == self.engine(core);
         let known = self.cores[core].state.config.next();
         assert!(known % 2 == 1, "work was sent to a domain known to be out");
-        let asked = self.asked(core, attempt.request);
-        asked.sent += 1;
-        asked.generation = Some(attempt.generation);
-        let job = asked
+        let request = self.request(core, attempt.request);
+        request.sent += 1;
+        request.generation = Some(attempt.generation);
+        let job = request
             .order
             .map_or(Job::Generate, |(key, other)| Job::Order(key, other));
-        self.flight.push(Message::Send(core, life, attempt, job));
-        // What a core sent by its knowledge of an earlier start of the engine cannot
-        // count against the present one.
+        self.pending.push(Message::Send(core, epoch, attempt, job));
+        // Requests that a core sent to an earlier incarnation of the engine do not count
+        // against the limit of the current one.
         let state = &self.cores[core].state;
-        let current = state.endpoints[endpoint].incarnation() == Some(self.incarnation);
+        let current = state.endpoints[endpoint].incarnation() == Some(self.engine_incarnation);
         let slot = state.slow_start.get(state.endpoints[endpoint].digest);
         if engine && current && slot.is_some_and(|slot| !slot.warm) {
-            self.cold.push((core, life, attempt.generation));
+            self.cold_requests.push((core, epoch, attempt.generation));
         }
     }
 
     fn finish(&mut self, core: usize, key: request::Key, outcome: Outcome) {
-        let runs = self.runs.clone();
-        let asked = self.asked(core, key);
-        assert!(!asked.ended, "a request was answered twice");
-        asked.ended = true;
-        match (outcome, asked.order) {
+        let order_runs = self.order_runs.clone();
+        let request = self.request(core, key);
+        assert!(!request.ended, "a request was answered twice");
+        request.ended = true;
+        match (outcome, request.order) {
             (Outcome::Answered(Some(answer)), Some(order)) => {
                 assert_eq!(
                     answer,
-                    printed(order.0),
+                    expected_answer(order.0),
                     "an answer of another order was given"
                 );
                 assert!(
-                    runs.contains(&order),
+                    order_runs.contains(&order),
                     "an order was answered that did not run"
                 );
             }
             (Outcome::NotRun(_), Some(_)) => {
-                // Every send of it was proven to have reached nobody.
-                let unproven = asked.sent > 0 && runs.contains(&asked.order.expect("an order"));
+                // An order reported as not run must not have run.
+                let unproven =
+                    request.sent > 0 && order_runs.contains(&request.order.expect("an order"));
                 assert!(!unproven, "an order that ran was refused as not run");
             }
             (Outcome::Answered(None), None) => {
-                assert_eq!(asked.next, 3, "a stream ended before its end");
+                assert_eq!(request.next, 3, "a stream ended before its end");
             }
             _ => {}
         }
     }
 
-    /// Forgets cold requests that the core no longer has at the engine.
-    fn release(&mut self, core: usize, life: u64) {
+    /// Removes cold requests that the core no longer has running.
+    fn release(&mut self, core: usize, epoch: u64) {
         let state = &self.cores[core].state;
         let running = state
             .requests
@@ -615,23 +624,23 @@
                 _ => None,
             });
         let running = running.collect::<Vec<_>>();
-        self.cold.retain(|(owner, owned, generation)| {
-            (*owner, *owned) != (core, life) || running.contains(generation)
+        self.cold_requests.retain(|(owner, owned, generation)| {
+            (*owner, *owned) != (core, epoch) || running.contains(generation)
         });
     }
 
-    fn asked(&mut self, core: usize, key: request::Key) -> &mut Asked {
-        let life = self.cores[core].life;
-        let asked = self.asked.iter_mut();
-        let mut found =
-            asked.filter(|asked| (asked.core, asked.life, asked.key) == (core, life, key));
+    fn request(&mut self, core: usize, key: request::Key) -> &mut CallerRequest {
+        let epoch = self.cores[core].epoch;
+        let requests = self.requests.iter_mut();
+        let mut found = requests
+            .filter(|request| (request.core, request.epoch, request.key) == (core, epoch, key));
         found
             .next()
             .expect("an action names a request that was asked")
     }
 }
 
-impl Event2 {
+impl Reply {
     fn event(self) -> Event {
         match self {
             Self::Answered(attempt, answer) => Event::Answered(attempt, answer),
@@ -663,8 +672,8 @@
     }
 }
 
-/// The answer of the service to an order.
-fn printed(key: u128) -> Answer {
+/// The service's answer to an order.
+fn expected_answer(key: u128) -> Answer {
     Answer {
         body: Bytes::from(key.to_string()),
         media: String::new(),
@@ -721,7 +730,7 @@
             change(
                 record::Kind::Endpoint,
                 "engine",
-                Body::Endpoint(facts(COLD)),
+                Body::Endpoint(facts(COLD_LIMIT)),
             ),
             change(record::Kind::Endpoint, "other", Body::Endpoint(facts(100))),
             change(record::Kind::Endpoint, "spare", Body::Endpoint(facts(100))),
