--- a/crates/decision/src/call.rs
+++ b/crates/decision/src/call.rs
@@ -19,12 +19,12 @@
         out: &mut Vec<Action>,
     ) {
         let order_key = self.order_key(key, order);
-        let birth = order_key.birth();
-        if birth > wall.plus(self.limits.skew) {
+        let created_at = order_key.created_at();
+        if created_at > wall.plus(self.limits.skew) {
             self.refuse(key, Refusal::KeyFromFuture, None, out);
             return;
         }
-        if birth < wall.before(self.limits.order_window) {
+        if created_at < wall.before(self.limits.order_window) {
             self.refuse(key, Refusal::KeyExpired, None, out);
             return;
         }
--- a/crates/decision/src/claim.rs
+++ b/crates/decision/src/claim.rs
@@ -159,13 +159,15 @@
     /// allowed clock skew, since keys from the future are refused.
     #[must_use]
     pub fn covers(&self, key: order::Key, skew: Duration) -> bool {
-        let oldest = key.birth().before(skew * 2);
+        let oldest = key.created_at().before(skew * 2);
         self.covered_from.is_some_and(|from| from <= oldest)
     }
 
-    /// Drops keys created before `birth` and returns their number.
-    pub fn expire(&mut self, birth: Wall) -> usize {
-        let expired = self.slots.partition_point(|slot| slot.key.birth() < birth);
+    /// Drops keys created before `created_at` and returns their number.
+    pub fn expire(&mut self, created_at: Wall) -> usize {
+        let expired = self
+            .slots
+            .partition_point(|slot| slot.key.created_at() < created_at);
         self.slots.drain(..expired);
         expired
     }
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -57,10 +57,10 @@
         let mut searches = 0;
         for key in order {
             let (name, required_tokens) = self.demand(key);
-            let known = saturated
+            let skip = saturated
                 .iter()
                 .any(|(other, least)| *other == name && *least <= required_tokens);
-            if known {
+            if skip {
                 continue;
             }
             searches += 1;
--- a/crates/decision/src/ingest.rs
+++ b/crates/decision/src/ingest.rs
@@ -46,8 +46,8 @@
 
     pub(crate) fn apply_slow_start(&mut self, entry: &slow_start::Entry, instance: u64) {
         self.slow_start.apply(entry, instance);
-        let yielded = matches!(entry.kind, slow_start::Kind::TransferQuota { .. });
-        if !yielded || instance != self.digest {
+        let transferred = matches!(entry.kind, slow_start::Kind::TransferQuota { .. });
+        if !transferred || instance != self.digest {
             return;
         }
         let endpoints = self.endpoints.values_mut();
--- a/crates/decision/src/invariant.rs
+++ b/crates/decision/src/invariant.rs
@@ -69,7 +69,7 @@
             return;
         }
         self.violations[rule as usize] += 1;
-        debug_assert!(holds, "invariant {} is broken", rule.label());
+        debug_assert!(holds, "invariant {} is violated", rule.label());
     }
 
     /// Number of violations of `rule` so far.
--- a/crates/decision/src/order.rs
+++ b/crates/decision/src/order.rs
@@ -14,9 +14,9 @@
 }
 
 impl Key {
-    /// The creation time in the UUID.
+    /// Creation time of the key, from its UUID.
     #[must_use]
-    pub fn birth(self) -> Wall {
+    pub fn created_at(self) -> Wall {
         let millis = self.uuid >> 80;
         Wall(u64::try_from(millis).unwrap_or(u64::MAX))
     }
--- a/crates/decision/src/routing.rs
+++ b/crates/decision/src/routing.rs
@@ -183,7 +183,7 @@
 ///
 /// # Panics
 ///
-/// Never: a hash has more than eight bytes.
+/// Never, since a hash has 32 bytes.
 #[must_use]
 pub fn rendezvous(name: &str, item: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -198,20 +198,20 @@
     #[must_use]
     pub fn config_fresh(&self, now: Time) -> bool {
         self.config_read_at
-            .is_some_and(|read| now.since(read) <= self.limits.staleness)
+            .is_some_and(|at| now.since(at) <= self.limits.staleness)
     }
 
     /// Whether the claim stream was read to its end within [`Limits::staleness`].
     #[must_use]
     pub fn claims_fresh(&self, now: Time) -> bool {
         self.claims_read_at
-            .is_some_and(|read| now.since(read) <= self.limits.staleness)
+            .is_some_and(|at| now.since(at) <= self.limits.staleness)
     }
 
     /// Time since the configuration was last known to be complete.
     #[must_use]
     pub fn staleness(&self, now: Time) -> Option<Duration> {
-        self.config_read_at.map(|read| now.since(read))
+        self.config_read_at.map(|at| now.since(at))
     }
 
     /// Whether the instance can serve, having read the configuration and the instance list.
@@ -221,9 +221,11 @@
     }
 
     /// Registers a request that uses an order key.
-    pub(crate) fn register_order(&mut self, key: request::Key, name: order::Key) {
-        let place = self.orders.partition_point(|(other, _)| *other <= name);
-        self.orders.insert(place, (name, key));
+    pub(crate) fn register_order(&mut self, key: request::Key, order_key: order::Key) {
+        let index = self
+            .orders
+            .partition_point(|(other, _)| *other <= order_key);
+        self.orders.insert(index, (order_key, key));
     }
 
     /// The full order key of a request.
@@ -244,11 +246,11 @@
     }
 
     /// Requests of this instance that use an order key.
-    pub(crate) fn requests_with_order(&self, name: order::Key) -> Vec<request::Key> {
-        let first = self.orders.partition_point(|(other, _)| *other < name);
+    pub(crate) fn requests_with_order(&self, order_key: order::Key) -> Vec<request::Key> {
+        let first = self.orders.partition_point(|(other, _)| *other < order_key);
         let same = self.orders[first..]
             .iter()
-            .take_while(|(other, _)| *other == name);
+            .take_while(|(other, _)| *other == order_key);
         same.map(|(_, key)| *key).collect()
     }
 
@@ -274,12 +276,12 @@
         if customer.is_none() {
             return Some((Refusal::UnknownCustomer, None));
         }
-        let known = match &self.requests[key].work {
+        let route_known = match &self.requests[key].work {
             Work::Call { service, .. } => self.config.service(service).is_some(),
             Work::Generation { model, .. } => self.config.route(model).is_some(),
             Work::Resume { .. } => true,
         };
-        if known {
+        if route_known {
             None
         } else {
             Some((Refusal::UnknownRoute, None))
--- a/crates/decision/tests/fairness.rs
+++ b/crates/decision/tests/fairness.rs
@@ -66,7 +66,7 @@
 }
 
 /// Lists one warm engine for each model, with the given KV-cache capacity in tokens.
-fn open(state: &mut State, rooms: [(&str, u64); 2]) {
+fn list_engines(state: &mut State, capacities: [(&str, u64); 2]) {
     let now = Time::from_micros(1_000_000);
     let member = |name: &str| Member {
         name: name.to_string(),
@@ -75,7 +75,7 @@
         kind: EndpointKind::Engine,
         leaving: false,
     };
-    let members = rooms.iter().map(|(model, _)| member(model)).collect();
+    let members = capacities.iter().map(|(model, _)| member(model)).collect();
     let mut out = Vec::new();
     state.step(now, Wall(0), Event::Listed(members, Vec::new()), &mut out);
     state.step(now, Wall(0), Event::ConfigCaughtUp(now), &mut out);
@@ -84,10 +84,10 @@
         .iter()
         .map(|(key, endpoint)| (key, endpoint.member.name.clone()));
     for (key, name) in keys.collect::<Vec<_>>() {
-        let (_, capacity) = rooms
+        let (_, capacity) = capacities
             .iter()
             .find(|(model, _)| *model == name)
-            .expect("it is listed");
+            .expect("the engine of the model is listed");
         let report = Report {
             capacity: *capacity,
             models: vec![name],
@@ -102,12 +102,12 @@
         .map(|endpoint| endpoint.digest)
         .collect::<Vec<_>>();
     let entries = engines.iter().flat_map(|digest| {
-        let take = slow_start::Kind::Initialize {
+        let initialize = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
             quotas: Vec::new(),
         };
-        [take, slow_start::Kind::Warm].map(|kind| {
+        [initialize, slow_start::Kind::Warm].map(|kind| {
             batch::Entry::SlowStart(slow_start::Entry {
                 endpoint: *digest,
                 kind,
@@ -127,9 +127,9 @@
 #[test]
 fn request_for_idle_model_is_not_blocked_by_saturated_model() {
     let mut state = state();
-    open(&mut state, [("m", 0), ("n", 100_000)]);
+    list_engines(&mut state, [("m", 0), ("n", 100_000)]);
     let now = Time::from_micros(1_000_000);
-    let mut ask = |model: &str| {
+    let mut sent_at_once = |model: &str| {
         let arrival = Arrival {
             credential: [1; 32],
             deadline: now.after(Duration::from_secs(9)),
@@ -145,9 +145,9 @@
             .any(|action| matches!(action, Action::Send { .. }))
     };
     for _ in 0..100 {
-        assert!(!ask("m"));
+        assert!(!sent_at_once("m"));
     }
-    assert!(ask("n"));
+    assert!(sent_at_once("n"));
 }
 
 fn arrive(state: &mut State, credential: u8) {
@@ -169,8 +169,14 @@
 #[test]
 fn returning_customer_starts_at_the_lowest_active_share() {
     let mut state = state();
-    let busy = state.config.customer(&[2; 32]).expect("it is published");
-    let returning = state.config.customer(&[1; 32]).expect("it is published");
+    let busy = state
+        .config
+        .customer(&[2; 32])
+        .expect("the customer is published");
+    let returning = state
+        .config
+        .customer(&[1; 32])
+        .expect("the customer is published");
     state.config.customers[busy].served = 5_000.0;
     let request = decision::request::Request {
         arrived_at: Time::default(),
--- a/crates/decision/tests/retries.rs
+++ b/crates/decision/tests/retries.rs
@@ -53,12 +53,12 @@
             leaving: false,
         };
         harness.step(Event::Listed(vec![member], Vec::new()));
-        let take = slow_start::Kind::Initialize {
+        let initialize = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
             quotas: Vec::new(),
         };
-        let entries = [take, slow_start::Kind::Warm].map(|kind| {
+        let entries = [initialize, slow_start::Kind::Warm].map(|kind| {
             batch::Entry::SlowStart(slow_start::Entry {
                 endpoint: digest("desk"),
                 kind,
@@ -148,7 +148,7 @@
     harness.step(Event::Failed(first, Failure::Broken));
     let second = harness
         .sent()
-        .expect("the desk that knows its keys is asked again");
+        .expect("the order is retried at the endpoint that deduplicates it");
     let not_run = Failure::NotRun(Evidence::NothingWritten);
     harness.step(Event::Failed(second, not_run));
     let outcomes = harness.out.drain(..).filter_map(|action| match action {
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -44,7 +44,7 @@
     /// A generation is requested.
     Generate(usize),
     /// The caller of a request disconnects.
-    Leave(usize),
+    Disconnect(usize),
     /// The engine restarts without notice.
     Restart,
     /// An order is submitted: core, key, whether with another body.
@@ -169,7 +169,7 @@
             Op::Deliver(index) => self.deliver(index, false),
             Op::Generate(core) => self.submit(core % CORES, None, false),
             Op::Lag(core, missing) => self.list(core % CORES, Some(missing % CORES)),
-            Op::Leave(index) => self.leave(index),
+            Op::Disconnect(index) => self.disconnect(index),
             Op::Lose(index) => self.lose(index),
             Op::Order(core, key, other) => self.submit(core % CORES, Some(key % 8), other),
             Op::Outage(outage) => {
@@ -218,10 +218,10 @@
 
     fn check(&self) {
         for (index, run) in self.order_runs.iter().enumerate() {
-            let again = self.order_runs[index + 1..]
+            let duplicate = self.order_runs[index + 1..]
                 .iter()
                 .any(|(key, _)| *key == run.0);
-            assert!(!again, "an order ran twice");
+            assert!(!duplicate, "an order ran twice");
         }
         let cold = u32::try_from(self.cold_requests.len()).expect("a short history");
         assert!(
@@ -317,13 +317,13 @@
             .retain(|(owner, owned, _)| (*owner, *owned) != (core, epoch));
     }
 
-    fn deliver(&mut self, index: usize, again: bool) {
+    fn deliver(&mut self, index: usize, duplicate: bool) {
         if self.pending.is_empty() {
             return;
         }
         let index = index % self.pending.len();
         let message = self.pending.remove(index);
-        if again && matches!(message, Message::Append(..) | Message::Event(..)) {
+        if duplicate && matches!(message, Message::Append(..) | Message::Event(..)) {
             self.faults[1] += 1;
             let answer = matches!(message, Message::Event(_, _, Reply::Appended(_)));
             if !answer {
@@ -399,7 +399,7 @@
         }
     }
 
-    fn leave(&mut self, index: usize) {
+    fn disconnect(&mut self, index: usize) {
         if self.requests.is_empty() {
             return;
         }
@@ -542,9 +542,12 @@
                     assert_eq!(
                         sender.as_ref().map(<[u8; 16]>::as_slice),
                         Some(&*data),
-                        "a token of another generation came"
+                        "a token of another generation was delivered"
+                    );
+                    assert_eq!(
+                        request.next, index,
+                        "a token was delivered twice or out of order"
                     );
-                    assert_eq!(request.next, index, "a token came twice or out of order");
                     request.next += 1;
                 }
                 Action::Detach(_) | Action::Gossip(_) | Action::Poll(_) | Action::Snapshot(_) => {}
@@ -564,8 +567,11 @@
     fn send(&mut self, core: usize, attempt: Attempt, endpoint: endpoint::Key) {
         let epoch = self.cores[core].epoch;
         let engine = endpoint == self.engine(core);
-        let known = self.cores[core].state.config.next();
-        assert!(known % 2 == 1, "work was sent to a domain known to be out");
+        let config_next = self.cores[core].state.config.next();
+        assert!(
+            config_next % 2 == 1,
+            "a request was sent to a domain known to be disabled"
+        );
         let request = self.request(core, attempt.request);
         request.sent += 1;
         request.generation = Some(attempt.generation);
@@ -593,7 +599,7 @@
                 assert_eq!(
                     answer,
                     expected_answer(order.0),
-                    "an answer of another order was given"
+                    "the answer of another order was returned"
                 );
                 assert!(
                     order_runs.contains(&order),
@@ -604,10 +610,10 @@
                 // An order reported as not run must not have run.
                 let unproven =
                     request.sent > 0 && order_runs.contains(&request.order.expect("an order"));
-                assert!(!unproven, "an order that ran was refused as not run");
+                assert!(!unproven, "an order that ran was reported as not run");
             }
             (Outcome::Answered(None), None) => {
-                assert_eq!(request.next, 3, "a stream ended before its end");
+                assert_eq!(request.next, 3, "a stream ended before its last token");
             }
             _ => {}
         }
@@ -634,9 +640,7 @@
         let requests = self.requests.iter_mut();
         let mut found = requests
             .filter(|request| (request.core, request.epoch, request.key) == (core, epoch, key));
-        found
-            .next()
-            .expect("an action names a request that was asked")
+        found.next().expect("the action belongs to a known request")
     }
 }
 
