--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -104,7 +104,7 @@
         u64::from(prompt) + u64::from(limit.min(expected))
     }
 
-    /// Discards the load report of an endpoint after a failure, and polls it at once.
+    /// Discards the load report of an endpoint after a failure, to be polled on the next tick.
     ///
     /// The engine may have restarted and be cold, and requests sent by the old report could
     /// overload it.
--- a/crates/decision/src/subset.rs
+++ b/crates/decision/src/subset.rs
@@ -30,7 +30,7 @@
     /// Name digests of the instances that have an endpoint in a subset, in rendezvous order.
     pub(crate) fn instances_with(&self, endpoint: &Endpoint) -> Vec<u64> {
         let mut rings: Vec<(&str, Vec<u64>)> = Vec::new();
-        let mut covering = Vec::new();
+        let mut instances = Vec::new();
         for peer in self.peers.iter().filter(|peer| !peer.leaving) {
             let position = rings.iter().position(|(domain, _)| *domain == peer.domain);
             let position = position.unwrap_or_else(|| {
@@ -45,12 +45,12 @@
                 if local { local_rank } else { remote_rank },
                 endpoint,
             ) {
-                covering.push(peer);
+                instances.push(peer);
             }
         }
         let weight = |peer: &&Peer| crate::routing::rendezvous(&peer.name, &endpoint.member.name);
-        covering.sort_by_key(|peer| std::cmp::Reverse(weight(peer)));
-        covering
+        instances.sort_by_key(|peer| std::cmp::Reverse(weight(peer)));
+        instances
             .into_iter()
             .map(|peer| digest(&peer.name))
             .collect()
