--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -57,7 +57,7 @@
 }
 
 impl History {
-    /// Appends a record and evicts the oldest ones beyond [`MAX_HISTORY_BYTES`].
+    /// Appends a record and evicts the oldest ones beyond `MAX_HISTORY_BYTES`.
     pub fn push(&mut self, offset: u64, data: Bytes) {
         self.bytes += data.len();
         self.records.push_back((offset, data));
--- a/crates/decision/src/subset.rs
+++ b/crates/decision/src/subset.rs
@@ -4,7 +4,7 @@
 //! product of their numbers. Instead, each instance uses one subset of the endpoints in its
 //! own failure domain and one of the endpoints elsewhere. Subsets are contiguous ranges of a
 //! ring, placed evenly by the rank of the instance, so that each endpoint is in several. With
-//! at most [`SUBSET_SIZE`] endpoints, a subset contains all of them.
+//! at most `SUBSET_SIZE` endpoints, a subset contains all of them.
 
 use crate::{event::Peer, prelude::*, state::digest};
 
