--- a/crates/decision/src/claim.rs
+++ b/crates/decision/src/claim.rs
@@ -1,37 +1,36 @@
-//! Claims on order keys: a state that is a function of the log's prefix.
+//! Claims on order keys, derived from the claim stream.
 //!
-//! An instance appends a claim before it sends an order. The first claim of a
-//! key in offset order holds the key for good, so a holder that was paused for
-//! any time still owns it and nobody else has sent the order: a lease would lack
-//! that property, since it can lapse while its holder is paused.
+//! An instance appends a claim before it sends an order. The first claim of a key in offset
+//! order holds the key permanently. Unlike a lease, a claim cannot expire while its holder is
+//! paused, so no other instance can send the order in the meantime.
 
 use {
     crate::prelude::*,
     serde::{Deserialize, Serialize},
 };
 
-/// Largest answer that is kept in the log for callers who come back, in bytes.
-pub const ANSWER_LIMIT: usize = 2048;
+/// Largest answer body, in bytes, that is stored in the log for repeated orders.
+pub const MAX_STORED_ANSWER_BYTES: usize = 2048;
 
-/// Random identifier of one claim, the same in every copy of it.
+/// Random identifier of a claim, the same in all of its entries.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Id(pub u128);
 
-/// One line of the claim stream.
+/// An entry of the claim stream about an order key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
-    /// The claim spoken of.
+    /// The claim.
     pub claim: Id,
     /// Digest of the customer, see [`order::Key`].
     pub customer: u64,
-    /// What is said of the claim.
+    /// The change.
     pub kind: Kind,
     /// The UUID of the order key.
     pub uuid: u128,
 }
 
 impl Entry {
-    /// The order key spoken of.
+    /// The order key.
     #[must_use]
     pub const fn key(&self) -> order::Key {
         order::Key {
@@ -41,22 +40,22 @@
     }
 }
 
-/// What an entry says of its claim.
+/// The change that an entry makes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Kind {
-    /// The order ran; the answer follows if it is small enough.
-    Answered(Option<Stored>),
-    /// The sender is about to send the order with this body digest.
+    /// The order ran; carries the answer unless it is too large.
+    Answered(Option<StoredAnswer>),
+    /// The appending instance is about to send the order with this body digest.
     Claim(u128),
-    /// The holder sent the order and lost sight of it.
+    /// The holder sent the order and does not know its result.
     Lost,
     /// The holder has not sent the order under this claim and never will.
     Void,
 }
 
-/// An answer as the log keeps it.
+/// An answer stored in the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredAnswer {
     /// The body.
     pub body: Vec<u8>,
     /// The `Content-Type`.
@@ -65,18 +64,18 @@
     pub status: u16,
 }
 
-impl Stored {
-    /// Keeps `answer` if it is small enough.
+impl StoredAnswer {
+    /// Copies `answer`; `None` if its body exceeds [`MAX_STORED_ANSWER_BYTES`].
     #[must_use]
     pub fn of(answer: &Answer) -> Option<Self> {
-        (answer.body.len() <= ANSWER_LIMIT).then(|| Self {
+        (answer.body.len() <= MAX_STORED_ANSWER_BYTES).then(|| Self {
             body: answer.body.to_vec(),
             media: answer.media.clone(),
             status: answer.status,
         })
     }
 
-    /// The answer to give to a caller.
+    /// The answer to return to a caller.
     #[must_use]
     pub fn answer(&self) -> Answer {
         Answer {
@@ -87,121 +86,123 @@
     }
 }
 
-/// Where an order key stands.
+/// State of an order key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
-    /// It ran; the answer is here if it was small enough.
-    Answered(Option<Stored>),
-    /// Nobody holds it.
+pub enum KeyState {
+    /// The order ran; carries the answer unless it was too large.
+    Answered(Option<StoredAnswer>),
+    /// No claim holds the key.
     Free,
-    /// A claim holds it.
+    /// A claim holds the key.
     Held {
         /// The claim.
         claim: Id,
         /// Digest of the holder's instance name.
         holder: u64,
     },
-    /// It was sent, and whether it ran is not known.
+    /// The order was sent; whether it ran is unknown.
     Lost,
 }
 
-/// What is known of one order key.
+/// An order key and its state.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// Digest of the body that the key was first used with.
+    /// Body digest of the claim that last acquired the key.
     pub body: u128,
     /// The key.
     pub key: order::Key,
-    /// Where it stands.
-    pub standing: Standing,
-    /// Claims given up, so that a late copy of one does not take the key again.
+    /// Its state.
+    pub state: KeyState,
+    /// Voided claims, so that a duplicate entry of one does not acquire the key again.
     voided: Vec<Id>,
 }
 
-/// All order keys within the window, sorted by key.
+/// All order keys within the order window, sorted by key.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct ClaimTable {
     covered_from: Option<Wall>,
     slots: VecDeque<Slot>,
 }
 
-impl Table {
-    /// Applies one entry of the log and returns the key it changed, if any.
+impl ClaimTable {
+    /// Applies an entry that the instance with the name digest `holder` appended.
     pub fn apply(&mut self, entry: &Entry, holder: u64) {
         let slot = self.slot(entry.key());
         match &entry.kind {
             Kind::Answered(answer) => {
                 if slot.holds(entry.claim) {
-                    slot.standing = Standing::Answered(answer.clone());
+                    slot.state = KeyState::Answered(answer.clone());
                 }
             }
-            Kind::Claim(body) => slot.take(entry.claim, holder, *body),
+            Kind::Claim(body) => slot.acquire(entry.claim, holder, *body),
             Kind::Lost => {
                 if slot.holds(entry.claim) {
-                    slot.standing = Standing::Lost;
+                    slot.state = KeyState::Lost;
                 }
             }
             Kind::Void => slot.void(entry.claim),
         }
     }
 
-    /// Says from which time of the log on every record has been read.
+    /// Sets the log time from which on every record has been read.
     ///
-    /// Called with the time of the first record read, and again when records
-    /// between two reads aged out: keys that may have been claimed in the missing
-    /// part must not be taken, or an order could run twice.
-    pub fn cover_from(&mut self, from: Wall) {
+    /// Called with the time of the first record read, and again when records between two
+    /// reads were dropped by the log. Keys that may have been claimed in the missing records
+    /// must not be claimed, or an order could run twice.
+    pub fn set_covered_from(&mut self, from: Wall) {
         self.covered_from = Some(from);
     }
 
     /// Whether every claim that can exist for `key` has been read.
     ///
-    /// A claim cannot be older in log time than the key's birth less twice the
-    /// allowed clock difference, since keys from the future are refused.
+    /// In log time, a claim cannot be older than the creation of the key less twice the
+    /// allowed clock skew, since keys from the future are refused.
     #[must_use]
     pub fn covers(&self, key: order::Key, skew: Duration) -> bool {
-        let oldest = key.birth().before(skew * 2);
+        let oldest = key.created_at().before(skew * 2);
         self.covered_from.is_some_and(|from| from <= oldest)
     }
 
-    /// Drops keys born before `birth` and returns how many there were.
-    pub fn expire(&mut self, birth: Wall) -> usize {
-        let gone = self.slots.partition_point(|slot| slot.key.birth() < birth);
-        self.slots.drain(..gone);
-        gone
+    /// Drops keys created before `created_at` and returns their number.
+    pub fn expire(&mut self, created_at: Wall) -> usize {
+        let expired = self
+            .slots
+            .partition_point(|slot| slot.key.created_at() < created_at);
+        self.slots.drain(..expired);
+        expired
     }
 
-    /// What is known of `key`.
+    /// The entry of `key`.
     #[must_use]
     pub fn get(&self, key: order::Key) -> Option<&Slot> {
-        let place = self
+        let index = self
             .slots
             .binary_search_by_key(&key, |slot| slot.key)
             .ok()?;
-        self.slots.get(place)
+        self.slots.get(index)
     }
 
-    /// Number of keys known.
+    /// Number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no key is known.
+    /// Whether there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
     fn slot(&mut self, key: order::Key) -> &mut Slot {
-        let place = match self.slots.binary_search_by_key(&key, |slot| slot.key) {
-            Ok(place) => place,
-            Err(place) => {
-                self.slots.insert(place, Slot::new(key));
-                place
+        let index = match self.slots.binary_search_by_key(&key, |slot| slot.key) {
+            Ok(index) => index,
+            Err(index) => {
+                self.slots.insert(index, Slot::new(key));
+                index
             }
         };
-        &mut self.slots[place]
+        &mut self.slots[index]
     }
 }
 
@@ -209,24 +210,24 @@
     /// Whether `claim` holds the key.
     #[must_use]
     pub fn holds(&self, claim: Id) -> bool {
-        matches!(self.standing, Standing::Held { claim: held, .. } if held == claim)
+        matches!(self.state, KeyState::Held { claim: held, .. } if held == claim)
     }
 
     const fn new(key: order::Key) -> Self {
         Self {
             body: 0,
             key,
-            standing: Standing::Free,
+            state: KeyState::Free,
             voided: Vec::new(),
         }
     }
 
-    fn take(&mut self, claim: Id, holder: u64, body: u128) {
-        if self.standing != Standing::Free || self.voided.contains(&claim) {
+    fn acquire(&mut self, claim: Id, holder: u64, body: u128) {
+        if self.state != KeyState::Free || self.voided.contains(&claim) {
             return;
         }
         self.body = body;
-        self.standing = Standing::Held { claim, holder };
+        self.state = KeyState::Held { claim, holder };
     }
 
     fn void(&mut self, claim: Id) {
@@ -234,7 +235,7 @@
             self.voided.push(claim);
         }
         if self.holds(claim) {
-            self.standing = Standing::Free;
+            self.state = KeyState::Free;
         }
     }
 }
--- a/crates/decision/src/config.rs
+++ b/crates/decision/src/config.rs
@@ -1,29 +1,29 @@
-//! The configuration in force: a function of the log's prefix.
+//! The configuration in force, derived from the configuration stream.
 
 use {
     crate::record::{Body, Change, Facts, Item, Kind, Route, SCHEMA, Service},
     crate::{prelude::*, snapshot},
 };
 
-/// What applying a record came to.
+/// Result of applying a record.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Applied {
-    /// An item had been changed by another record first; nothing was applied.
-    Beaten {
+pub enum ApplyResult {
+    /// Another record had changed an item first; nothing was applied.
+    Conflict {
         /// The first item in conflict.
         item: Item,
-        /// Offset of the record that won, if the item exists.
+        /// Offset of the record that last changed the item, if it exists.
         winner: Option<u64>,
     },
     /// The record is in force.
     InForce,
-    /// Its offset was applied before; nothing changed.
-    Old,
-    /// The schema is newer than this version understands; it is kept and relayed.
-    Unknown,
+    /// A record at this or a later offset was applied before; nothing changed.
+    AlreadyApplied,
+    /// The schema is newer than this version supports; the record is kept and relayed.
+    UnknownSchema,
 }
 
-/// One item with the offset that last changed it.
+/// An item with the offset of the record that last changed it.
 #[derive(Clone, Debug)]
 struct Entry {
     body: Body,
@@ -32,35 +32,39 @@
     offset: u64,
 }
 
-/// Everything operators have published, as of one offset.
+/// The published configuration as of one offset.
 #[derive(Debug, Default)]
 pub struct Config {
     credentials: Vec<([u8; 32], customer::Key)>,
-    /// The customers, with their running counters.
+    /// The customers, with their counters of served tokens.
     pub customers: SlotMap<customer::Key, customer::Customer>,
     items: Vec<Entry>,
     next: u64,
-    seen: bool,
-    unknown: u64,
+    loaded: bool,
+    skipped_records: u64,
 }
 
 impl Config {
     /// Applies the record at `offset`.
     ///
-    /// Offsets below [`Self::next`] change nothing, so records may be applied from
-    /// several sources, late and doubled, and what was accepted never reverts.
-    pub fn apply(&mut self, offset: u64, record: &Record) -> Applied {
+    /// Records at offsets below [`Self::next`] are ignored, so late and duplicate records
+    /// from several sources never revert an accepted change.
+    pub fn apply(&mut self, offset: u64, record: &Record) -> ApplyResult {
         if offset < self.next {
-            return Applied::Old;
+            return ApplyResult::AlreadyApplied;
         }
         self.next = offset + 1;
-        self.seen = true;
+        self.loaded = true;
         if record.schema > SCHEMA {
-            self.unknown += 1;
-            return Applied::Unknown;
+            self.skipped_records += 1;
+            return ApplyResult::UnknownSchema;
         }
-        if let Some(change) = record.changes.iter().find(|change| !self.fits(change)) {
-            return Applied::Beaten {
+        if let Some(change) = record
+            .changes
+            .iter()
+            .find(|change| !self.matches_version(change))
+        {
+            return ApplyResult::Conflict {
                 item: change.item.clone(),
                 winner: self.version(&change.item),
             };
@@ -68,16 +72,16 @@
         for change in &record.changes {
             self.put(offset, &change.item, change.body.as_ref());
         }
-        Applied::InForce
+        ApplyResult::InForce
     }
 
-    /// Whether everything published is understood, so that a snapshot loses nothing.
+    /// Whether a snapshot would contain everything published.
     ///
-    /// A snapshot by a version that skips newer records would take them back for
+    /// A snapshot by a version that skipped records of a newer schema would revert them on
     /// every instance that starts from it.
     #[must_use]
     pub const fn complete(&self) -> bool {
-        self.seen && self.unknown == 0
+        self.loaded && self.skipped_records == 0
     }
 
     /// The configuration with the offsets of its items.
@@ -94,45 +98,45 @@
         }
     }
 
-    /// Starts from a snapshot; false if as much is known already.
+    /// Replaces the configuration by a snapshot; false if the snapshot is not newer.
     pub fn restore(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.next <= self.next {
             return false;
         }
         let listed = snapshot.entries.iter().map(|entry| &entry.item);
         let listed = listed.cloned().collect::<Vec<_>>();
-        let gone = self
+        let removed = self
             .items
             .iter()
             .filter(|entry| !listed.contains(&entry.item));
-        for item in gone.map(|entry| entry.item.clone()).collect::<Vec<_>>() {
+        for item in removed.map(|entry| entry.item.clone()).collect::<Vec<_>>() {
             self.put(self.next, &item, None);
         }
         for entry in snapshot.entries {
             self.put(entry.offset, &entry.item, Some(&entry.body));
         }
         self.next = snapshot.next;
-        self.seen = true;
+        self.loaded = true;
         true
     }
 
     /// The customer that a credential acts for.
     #[must_use]
     pub fn customer(&self, credential: &[u8; 32]) -> Option<customer::Key> {
-        let place = self
+        let index = self
             .credentials
             .binary_search_by_key(&credential, |(hash, _)| hash)
             .ok()?;
-        Some(self.credentials[place].1)
+        Some(self.credentials[index].1)
     }
 
-    /// Whether a failure domain was taken out.
+    /// Whether a failure domain is disabled.
     #[must_use]
-    pub fn out(&self, domain: &str) -> bool {
+    pub fn domain_disabled(&self, domain: &str) -> bool {
         matches!(self.get(Kind::Domain, domain), Some(Body::Domain(domain)) if domain.out)
     }
 
-    /// Facts about an endpoint, the defaults if none were published.
+    /// Published facts about an endpoint, or the defaults.
     #[must_use]
     pub fn facts(&self, endpoint: &str) -> Facts {
         match self.get(Kind::Endpoint, endpoint) {
@@ -141,14 +145,14 @@
         }
     }
 
-    /// Items with the offset of their last change, sorted.
+    /// Items with the offsets of their last changes, sorted.
     pub fn items(&self) -> impl Iterator<Item = (&Item, u64, &Body)> {
         self.items
             .iter()
             .map(|entry| (&entry.item, entry.offset, &entry.body))
     }
 
-    /// The offset that follows the last record applied.
+    /// The offset after the last record applied.
     #[must_use]
     pub const fn next(&self) -> u64 {
         self.next
@@ -163,10 +167,10 @@
         }
     }
 
-    /// Whether any record was read.
+    /// Whether a record or snapshot was applied.
     #[must_use]
-    pub const fn seen(&self) -> bool {
-        self.seen
+    pub const fn is_loaded(&self) -> bool {
+        self.loaded
     }
 
     /// A plain service.
@@ -178,32 +182,32 @@
         }
     }
 
-    /// Offset that last changed an item.
+    /// Offset of the record that last changed an item.
     #[must_use]
     pub fn version(&self, item: &Item) -> Option<u64> {
-        let place = self.place(item.kind, &item.name).ok()?;
-        Some(self.items[place].offset)
+        let index = self.search(item.kind, &item.name).ok()?;
+        Some(self.items[index].offset)
     }
 
     fn put(&mut self, offset: u64, item: &Item, body: Option<&Body>) {
-        let place = self.place(item.kind, &item.name);
+        let index = self.search(item.kind, &item.name);
         let Some(body) = body else {
-            if let Ok(place) = place {
-                let gone = self.items.remove(place);
-                self.drop_customer(gone.customer);
+            if let Ok(index) = index {
+                let removed = self.items.remove(index);
+                self.drop_customer(removed.customer);
             }
             return;
         };
-        let old = place.ok().and_then(|place| self.items[place].customer);
+        let old = index.ok().and_then(|index| self.items[index].customer);
         let entry = Entry {
             body: body.clone(),
             customer: self.put_customer(old, &item.name, body),
             item: item.clone(),
             offset,
         };
-        match place {
-            Ok(place) => self.items[place] = entry,
-            Err(place) => self.items.insert(place, entry),
+        match index {
+            Ok(index) => self.items[index] = entry,
+            Err(index) => self.items.insert(index, entry),
         }
     }
 
@@ -215,16 +219,16 @@
         self.credentials.retain(|(_, owner)| *owner != key);
     }
 
-    fn fits(&self, change: &Change) -> bool {
+    fn matches_version(&self, change: &Change) -> bool {
         self.version(&change.item) == change.replaces
     }
 
     fn get(&self, kind: Kind, name: &str) -> Option<&Body> {
-        let place = self.place(kind, name).ok()?;
-        Some(&self.items[place].body)
+        let index = self.search(kind, name).ok()?;
+        Some(&self.items[index].body)
     }
 
-    fn place(&self, kind: Kind, name: &str) -> Result<usize, usize> {
+    fn search(&self, kind: Kind, name: &str) -> Result<usize, usize> {
         self.items.binary_search_by(|entry| {
             (entry.item.kind, entry.item.name.as_str()).cmp(&(kind, name))
         })
@@ -258,8 +262,8 @@
             None => self.customers.insert(customer),
         };
         for hash in &body.credentials {
-            let place = self.credentials.partition_point(|(other, _)| other < hash);
-            self.credentials.insert(place, (*hash, key));
+            let index = self.credentials.partition_point(|(other, _)| other < hash);
+            self.credentials.insert(index, (*hash, key));
         }
         Some(key)
     }
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -1,158 +1,166 @@
 //! Relay of the configuration between instances.
 //!
-//! An instance that is cut off from the log, or meets a log that is down, still
-//! has to learn within seconds that a failure domain was taken out. Instances
-//! tell a few fixed fellows how far they have read and how fresh that is; the
-//! others hand over what is lacking. Each has a constant number of fellows, so
-//! the cost does not grow with the number of instances.
+//! An instance that cannot reach the log must still learn within seconds that a failure
+//! domain was disabled. Instances send their watermark to a few fixed peers,
+//! which answer with the records that the sender lacks. The number of peers is constant, so
+//! the cost per instance does not grow with the number of instances.
 
 use crate::{event::Peer, prelude::*, routing::rendezvous};
 
-/// Bytes of records kept to hand on.
-const MOST_KEPT: usize = 8 << 20;
+/// Total size of the records kept for peers.
+const MAX_HISTORY_BYTES: usize = 8 << 20;
 
-/// Bytes of records handed over at once.
-const MOST_HANDED: usize = 64 << 10;
+/// Total size of the records in one answer.
+const MAX_REPLY_BYTES: usize = 64 << 10;
 
-/// Fellows in other failure domains that are asked in turn.
-const FINGERS: usize = 4;
+/// Number of peers in other failure domains that are asked in turn.
+const MAX_REMOTE_PEERS: usize = 4;
 
-/// How far an instance has read the configuration.
+/// How far an instance has read the configuration stream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Known {
-    /// Time since that was known to be all.
+pub struct Watermark {
+    /// Time since this was known to be the end of the stream.
     pub age: Option<Duration>,
-    /// Offset of the first record it lacks.
+    /// Offset of the first record that was not read.
     pub next: u64,
 }
 
-/// A record with its text.
+/// A configuration record as read and as decoded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// The text as it stands in the log.
+pub struct ConfigRecord {
+    /// The record as stored in the log.
     pub data: Bytes,
     /// Offset.
     pub offset: u64,
-    /// The record.
+    /// The decoded record.
     pub record: Record,
 }
 
-/// What a fellow instance said.
+/// Answer of a peer.
 #[derive(Clone, Debug)]
-pub struct Heard {
-    /// When it was asked.
+pub struct PeerUpdate {
+    /// When the request was sent.
     pub asked: Time,
-    /// What it knows.
-    pub known: Known,
-    /// Records that were lacking here, in order.
-    pub lines: Vec<Line>,
-    /// The whole configuration, if the records lacking are not kept any more.
+    /// Watermark of the peer.
+    pub watermark: Watermark,
+    /// Records that this instance lacks, in order.
+    pub records: Vec<ConfigRecord>,
+    /// The whole configuration, if the peer no longer keeps those records.
     pub snapshot: Option<Snapshot>,
 }
 
-/// Records kept to hand on, in order without gaps.
+/// Records kept for peers, in order and without gaps.
 #[derive(Debug, Default)]
 pub struct History {
     bytes: usize,
-    kept: VecDeque<(u64, Bytes)>,
+    records: VecDeque<(u64, Bytes)>,
 }
 
 impl History {
-    /// Keeps a record, letting go of the oldest ones over the bound.
+    /// Appends a record and evicts the oldest ones beyond `MAX_HISTORY_BYTES`.
     pub fn push(&mut self, offset: u64, data: Bytes) {
         self.bytes += data.len();
-        self.kept.push_back((offset, data));
-        while self.bytes > MOST_KEPT {
-            let Some((_, data)) = self.kept.pop_front() else {
+        self.records.push_back((offset, data));
+        while self.bytes > MAX_HISTORY_BYTES {
+            let Some((_, data)) = self.records.pop_front() else {
                 return;
             };
             self.bytes -= data.len();
         }
     }
 
-    /// Forgets everything, after a start from a snapshot.
+    /// Removes all records, which a snapshot has made discontiguous.
     pub fn clear(&mut self) {
         self.bytes = 0;
-        self.kept.clear();
+        self.records.clear();
     }
 
-    /// Whether `next` lies before everything kept, so that only a snapshot helps.
+    /// Whether records from `next` on are no longer kept, so that a snapshot is needed.
+    ///
+    /// `own` is the offset after the last record that this instance has read.
     #[must_use]
-    pub fn lacks(&self, next: u64, own: u64) -> bool {
-        let first = self.kept.front().map_or(own, |(offset, _)| *offset);
+    pub fn needs_snapshot(&self, next: u64, own: u64) -> bool {
+        let first = self.records.front().map_or(own, |(offset, _)| *offset);
         next < first
     }
 
-    /// Records from `next` on, as many as fit into a message; none if `next` is not kept.
+    /// Records from `next` on, as many as fit into one answer; none if `next` is not kept.
     #[must_use]
-    pub fn after(&self, next: u64) -> Vec<(u64, Bytes)> {
-        let first = self.kept.partition_point(|(offset, _)| *offset < next);
-        let begins = self
-            .kept
+    pub fn records_from(&self, next: u64) -> Vec<(u64, Bytes)> {
+        let first = self.records.partition_point(|(offset, _)| *offset < next);
+        let available = self
+            .records
             .get(first)
             .is_some_and(|(offset, _)| *offset == next);
-        if !begins {
+        if !available {
             return Vec::new();
         }
         let mut bytes = 0;
-        let kept = self.kept.iter().skip(first);
-        kept.take_while(|(_, data)| {
-            bytes += data.len();
-            bytes <= MOST_HANDED
-        })
-        .cloned()
-        .collect()
+        let records = self.records.iter().skip(first);
+        records
+            .take_while(|(_, data)| {
+                bytes += data.len();
+                bytes <= MAX_REPLY_BYTES
+            })
+            .cloned()
+            .collect()
     }
 }
 
 impl State {
-    /// What this instance knows.
+    /// How far this instance has read the configuration stream.
     #[must_use]
-    pub fn known(&self, now: Time) -> Known {
-        Known {
+    pub fn watermark(&self, now: Time) -> Watermark {
+        Watermark {
             age: self.staleness(now),
             next: self.config.next(),
         }
     }
 
-    /// Takes in what a fellow instance said.
-    pub(crate) fn heard(&mut self, now: Time, heard: Heard, out: &mut Vec<Action>) {
-        if let Some(snapshot) = heard.snapshot {
+    /// Applies the answer of a peer.
+    pub(crate) fn apply_peer_update(
+        &mut self,
+        now: Time,
+        update: PeerUpdate,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(snapshot) = update.snapshot {
             self.restore(now, snapshot, out);
         }
-        for line in heard.lines {
-            self.configure(now, line, out);
+        for record in update.records {
+            self.apply_config_record(now, record, out);
         }
-        let Some(age) = heard.known.age else {
+        let Some(age) = update.watermark.age else {
             return;
         };
-        // The fellow knew all there was `age` before it answered; once this
-        // instance has as much, it knew all there was at that time, too.
-        if self.config.next() >= heard.known.next {
-            self.config_read_at(heard.asked.before(age));
+        // The peer had read to the end of the stream `age` before it answered, so this
+        // instance, having read as far, is as fresh. The time of the request is a lower bound
+        // of the time of the answer.
+        if self.config.next() >= update.watermark.next {
+            self.mark_config_current(update.asked.before(age));
         }
     }
 
-    /// The fellows to ask now.
-    pub(crate) fn fellows(&self, round: u64) -> Vec<&Peer> {
-        let mut fellows = Vec::new();
-        fellows.extend(self.neighbour());
-        let mut fingers = self
+    /// The peers to ask in this round: one in the own failure domain, one in another.
+    pub(crate) fn gossip_peers(&self, round: u64) -> Vec<&Peer> {
+        let mut selected = Vec::new();
+        selected.extend(self.next_local_peer());
+        let mut remote_peers = self
             .peers
             .iter()
             .filter(|peer| peer.domain != self.domain)
             .collect::<Vec<_>>();
-        fingers.sort_by_cached_key(|peer| rendezvous(&self.name, &peer.name));
-        fingers.truncate(FINGERS);
-        if !fingers.is_empty() {
-            let turn = usize::try_from(round % fingers.len() as u64).unwrap_or(0);
-            fellows.push(fingers[turn]);
+        remote_peers.sort_by_cached_key(|peer| rendezvous(&self.name, &peer.name));
+        remote_peers.truncate(MAX_REMOTE_PEERS);
+        if !remote_peers.is_empty() {
+            let index = usize::try_from(round % remote_peers.len() as u64).unwrap_or(0);
+            selected.push(remote_peers[index]);
         }
-        fellows
+        selected
     }
 
-    /// The next instance of the own failure domain, in a ring by name.
-    fn neighbour(&self) -> Option<&Peer> {
+    /// The next instance in the own failure domain, on a ring sorted by name.
+    fn next_local_peer(&self) -> Option<&Peer> {
         let own = || {
             let peers = self.peers.iter();
             peers.filter(|peer| peer.domain == self.domain && peer.name != self.name)
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,8 +1,8 @@
-//! Pure decisions of an entry instance.
+//! Decision logic of an entry instance, without I/O.
 //!
-//! [`state::State`] owns everything an instance knows. Its functions take the
-//! present time and an event and push [`action::Action`]s; nothing here reads a
-//! clock, does I/O or draws randomness other than from a generator passed in.
+//! [`state::State`] owns the state of an instance. Its functions take the current time and
+//! an event and push [`action::Action`]s. Nothing here reads a clock or does I/O, and random
+//! numbers come only from a generator seeded by the caller, so runs can be reproduced.
 
 pub mod action;
 pub mod answer;
@@ -10,34 +10,34 @@
 pub mod attempt;
 pub mod backlog;
 pub mod batch;
-pub mod budget;
 pub mod call;
 pub mod claim;
+pub mod completion;
 pub mod config;
 pub mod customer;
-pub mod ending;
+pub mod dispatch;
 pub mod endpoint;
 pub mod event;
 pub mod generation;
 pub mod gossip;
-pub mod hybrid;
+pub mod hybrid_clock;
+pub mod ingest;
 pub mod invariant;
-pub mod lengths;
 pub mod limits;
 pub mod membership;
 pub mod order;
 pub mod outcome;
+pub mod output_length;
 pub mod prelude;
-pub mod reading;
+pub mod proposal;
 pub mod record;
 pub mod request;
+pub mod retry_budget;
 pub mod routing;
-pub mod sending;
+pub mod slow_start;
 pub mod snapshot;
 pub mod state;
 pub mod stats;
-pub mod steward;
 pub mod stream;
+pub mod subset;
 pub mod time;
-pub mod warmth;
-pub mod window;
--- a/crates/decision/src/snapshot.rs
+++ b/crates/decision/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots of the configuration, so that its records may age out.
+//! Snapshots of the configuration.
 //!
-//! The log keeps records for a limited time. An instance that starts later would
-//! lack what the oldest ones said and could not serve. So the whole configuration
-//! is appended to a stream of its own from time to time, by whichever instance
-//! comes first by rank; no election is needed, since two snapshots do no harm.
+//! The log keeps records for a limited time, and an instance that starts later needs the
+//! changes of expired records. Instances therefore append the whole configuration to a
+//! separate stream from time to time. Their ranks stagger them, so that usually one does;
+//! duplicate snapshots are harmless, so no leader election is needed.
 
 use {
     crate::{
@@ -13,40 +13,40 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Longest time that each rank waits for the one before it.
-const MOST_STEP: Duration = Duration::from_secs(10);
+/// Upper bound of the delay per rank.
+const MAX_RANK_DELAY: Duration = Duration::from_secs(10);
 
-/// Parts of the interval that a rank waits, unless that is longer.
-const STEPS: u32 = 8;
+/// The delay per rank is the snapshot interval divided by this, up to [`MAX_RANK_DELAY`].
+const RANK_DELAY_DIVISOR: u32 = 8;
 
-/// Time before a failed snapshot is tried again.
-const AGAIN: Duration = Duration::from_mins(1);
+/// Time after which a snapshot that did not appear in the log is appended again.
+const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Most ranks that are waited for.
-const MOST_RANKS: u32 = 30;
+/// Upper bound of the rank.
+const MAX_RANK: u32 = 30;
 
-/// The configuration as of an offset.
+/// The configuration as of one offset.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Snapshot {
     /// The items.
     pub entries: Vec<Entry>,
-    /// Offset of the first record that is not in it.
+    /// Offset of the first record that it does not include.
     pub next: u64,
 }
 
-/// One item of a snapshot.
+/// An item of a snapshot.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
-    /// Its content.
+    /// Content of the item.
     pub body: Body,
-    /// Which item.
+    /// The item.
     pub item: Item,
-    /// Offset of the record that last changed it.
+    /// Offset of the record that last changed the item.
     pub offset: u64,
 }
 
 impl State {
-    /// Takes a snapshot in; one that is older than what is known changes nothing.
+    /// Applies a snapshot if it is newer than the configuration in force.
     pub(crate) fn restore(&mut self, now: Time, snapshot: Snapshot, out: &mut Vec<Action>) {
         if self.config.restore(snapshot) {
             self.history.clear();
@@ -54,32 +54,35 @@
         }
     }
 
-    /// A snapshot of some instance was seen in the log.
-    pub(crate) fn snapshot_seen(&mut self, at: Wall) {
-        self.snapshot_at = self.snapshot_at.max(Some(at));
+    /// Records that the log stored a snapshot at `at`.
+    pub(crate) fn record_snapshot_seen(&mut self, at: Wall) {
+        self.last_snapshot_at = self.last_snapshot_at.max(Some(at));
     }
 
     /// Appends a snapshot if one is due.
-    pub(crate) fn snapshot(&mut self, now: Time, wall: Wall, out: &mut Vec<Action>) {
-        let begun = *self.begun.get_or_insert(wall);
-        if self.draining || !self.config.complete() || now < self.snapshot_again {
+    pub(crate) fn append_snapshot_if_due(&mut self, now: Time, wall: Wall, out: &mut Vec<Action>) {
+        let started_at = *self.started_at.get_or_insert(wall);
+        if self.draining || !self.config.complete() || now < self.next_snapshot_attempt {
             return;
         }
-        let step = MOST_STEP.min(self.limits.snapshot_interval / STEPS);
-        let wait = step * self.snapshot_rank();
-        let due = match self.snapshot_at {
-            None => begun.plus(wait + step),
+        let rank_delay = MAX_RANK_DELAY.min(self.limits.snapshot_interval / RANK_DELAY_DIVISOR);
+        let wait = rank_delay * self.snapshot_rank();
+        let due = match self.last_snapshot_at {
+            None => started_at.plus(wait + rank_delay),
             Some(at) => at.plus(self.limits.snapshot_interval + wait),
         };
         if wall < due {
             return;
         }
-        self.snapshot_again = now.after(AGAIN.min(self.limits.snapshot_interval));
+        self.next_snapshot_attempt =
+            now.after(SNAPSHOT_RETRY_INTERVAL.min(self.limits.snapshot_interval));
         out.push(Action::Snapshot(self.config.snapshot()));
     }
 
     fn snapshot_rank(&self) -> u32 {
-        let ahead = self.live.partition_point(|digest| *digest < self.digest);
-        u32::try_from(ahead).unwrap_or(MOST_RANKS).min(MOST_RANKS)
+        let ahead = self
+            .live_instances
+            .partition_point(|digest| *digest < self.digest);
+        u32::try_from(ahead).unwrap_or(MAX_RANK).min(MAX_RANK)
     }
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -1,103 +1,103 @@
-//! Everything an instance knows, and the step that changes it.
+//! State of an instance, and the step that advances it.
 
 use {
     crate::{event::Peer, gossip::History, prelude::*, request::Run, routing::rendezvous},
     rand::{SeedableRng, rngs::StdRng},
 };
 
-/// When to come back after a refusal for want of room.
-pub(crate) const ROOM_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of requests refused for lack of capacity or configuration.
+pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of one entry instance, owned by its one loop.
+/// State of an entry instance, owned by its event loop.
 #[derive(Debug)]
 pub struct State {
     /// Requests that wait for an endpoint.
     pub backlog: Backlog,
-    /// Entries on their way into the claim stream.
-    pub batch: crate::batch::Queue,
-    /// What second tries may spend.
-    pub budget: Budget,
-    /// Claims, as far as the log was read.
-    pub claims: Table,
+    /// Entries being appended to the claim stream.
+    pub appends: crate::batch::AppendQueue,
+    /// Budget for retries.
+    pub retry_budget: RetryBudget,
+    /// Claims read from the log.
+    pub claims: ClaimTable,
     /// Configuration in force.
     pub config: Config,
     /// Name of the own failure domain.
     pub domain: String,
-    /// Endpoints in the instance list.
+    /// Listed endpoints, and unlisted ones that still run requests.
     pub endpoints: SlotMap<endpoint::Key, Endpoint>,
-    /// Checks of what must hold.
+    /// Counters of invariant checks.
     pub invariants: Invariants,
-    /// Bounds and times.
+    /// Limits and intervals.
     pub limits: Limits,
     /// Name of this instance.
     pub name: String,
-    /// Entry instances in the list, sorted by name.
+    /// Listed entry instances, sorted by name.
     pub peers: Vec<Peer>,
     /// Requests in progress.
     pub requests: SlotMap<request::Key, Request>,
     /// Counters.
     pub stats: Stats,
-    pub(crate) claims_read: Option<Time>,
-    pub(crate) config_read: Option<Time>,
-    pub(crate) lengths: Lengths,
-    pub(crate) live: Vec<u64>,
-    pub(crate) absent: Vec<(u64, Time)>,
-    pub(crate) begun: Option<Wall>,
-    pub(crate) snapshot_again: Time,
-    pub(crate) snapshot_at: Option<Wall>,
-    pub(crate) gossip: Time,
-    pub(crate) names: Vec<(String, endpoint::Key)>,
-    pub(crate) round: u64,
-    /// Whether this instance is about to stop.
+    pub(crate) claims_read_at: Option<Time>,
+    pub(crate) config_read_at: Option<Time>,
+    pub(crate) output_lengths: OutputLengths,
+    pub(crate) live_instances: Vec<u64>,
+    pub(crate) absent_since: Vec<(u64, Time)>,
+    pub(crate) started_at: Option<Wall>,
+    pub(crate) next_snapshot_attempt: Time,
+    pub(crate) last_snapshot_at: Option<Wall>,
+    pub(crate) next_gossip: Time,
+    pub(crate) endpoint_names: Vec<(String, endpoint::Key)>,
+    pub(crate) gossip_round: u64,
+    /// Whether this instance is shutting down.
     pub draining: bool,
-    /// Configuration records kept for fellow instances.
+    /// Configuration records kept for peers.
     pub history: History,
-    /// Which endpoints are cold, as far as the log was read.
-    pub warmth: Warmth,
+    /// Slow-start state of endpoints read from the log.
+    pub slow_start: SlowStart,
     pub(crate) digest: u64,
     pub(crate) orders: Vec<(order::Key, request::Key)>,
     pub(crate) rng: StdRng,
 }
 
 impl State {
-    /// An instance that knows nothing yet.
+    /// Initial state of the instance `name` in failure domain `domain`.
     #[must_use]
     pub fn new(name: &str, domain: &str, limits: Limits, seed: u64) -> Self {
         Self {
             backlog: Backlog::default(),
-            batch: crate::batch::Queue::default(),
-            budget: Budget::new(limits.retry_percent, 20),
-            claims: Table::default(),
-            claims_read: None,
+            appends: crate::batch::AppendQueue::default(),
+            retry_budget: RetryBudget::new(limits.retry_percent, 20),
+            claims: ClaimTable::default(),
+            claims_read_at: None,
             config: Config::default(),
-            config_read: None,
+            config_read_at: None,
             digest: digest(name),
             domain: domain.to_string(),
             draining: false,
             endpoints: SlotMap::default(),
-            gossip: Time::default(),
+            next_gossip: Time::default(),
             history: History::default(),
             invariants: Invariants::default(),
-            lengths: Lengths::default(),
+            output_lengths: OutputLengths::default(),
             limits,
-            live: Vec::new(),
-            absent: Vec::new(),
-            begun: None,
-            snapshot_again: Time::default(),
-            snapshot_at: None,
+            live_instances: Vec::new(),
+            absent_since: Vec::new(),
+            started_at: None,
+            next_snapshot_attempt: Time::default(),
+            last_snapshot_at: None,
             name: name.to_string(),
-            names: Vec::new(),
+            endpoint_names: Vec::new(),
             orders: Vec::new(),
             peers: Vec::new(),
             requests: SlotMap::default(),
             rng: StdRng::seed_from_u64(seed),
-            round: 0,
+            gossip_round: 0,
             stats: Stats::default(),
-            warmth: Warmth::default(),
+            slow_start: SlowStart::default(),
         }
     }
 
-    /// Takes a new request in.
+    /// Accepts a new request and returns its key, which is invalid if it was refused at once.
     pub fn arrive(
         &mut self,
         now: Time,
@@ -106,9 +106,9 @@
         out: &mut Vec<Action>,
     ) -> request::Key {
         let customer = self.config.customer(&arrival.credential);
-        self.lift(customer);
+        self.raise_served_floor(customer);
         let key = self.requests.insert(Request {
-            arrived: now,
+            arrived_at: now,
             customer: customer.unwrap_or_default(),
             deadline: arrival.deadline,
             phase: Phase::Waiting {
@@ -116,10 +116,10 @@
                 proof: Some(Unsent::new()),
             },
             sends: 0,
-            tried: None,
+            last_endpoint: None,
             work: arrival.work,
         });
-        if let Some((refusal, retry)) = self.reject(customer, key) {
+        if let Some((refusal, retry)) = self.check_arrival(customer, key) {
             self.refuse(key, refusal, retry, out);
             return key;
         }
@@ -136,17 +136,16 @@
                 self.backlog.push(key);
                 self.dispatch(now, out);
             }
-            Work::Resume { .. } => self.take_up(now, key, out),
+            Work::Resume { .. } => self.attach_to_generation(now, key, out),
         }
         key
     }
 
-    /// Brings the counter of a customer who had nothing in progress up to the others.
+    /// Raises the counter of a customer without requests to the lowest one in progress.
     ///
-    /// Without this, a customer who was away would come back with the claims of all
-    /// the time it asked for nothing, and hold up everybody else until it had used
-    /// them; they would see their checks wait behind one customer's drafts.
-    fn lift(&mut self, customer: Option<customer::Key>) {
+    /// Otherwise, a customer returning after an idle period would be served before all others
+    /// until its counter had caught up.
+    fn raise_served_floor(&mut self, customer: Option<customer::Key>) {
         let Some(customer) = customer else {
             return;
         };
@@ -156,35 +155,37 @@
                 return;
             }
             if let Some(other) = self.config.customers.get(request.customer) {
-                least = least.min(other.share());
+                least = least.min(other.served_per_weight());
             }
         }
         let customer = &mut self.config.customers[customer];
-        if least.is_finite() && customer.share() < least {
+        if least.is_finite() && customer.served_per_weight() < least {
             customer.served = least * customer.weight;
         }
     }
 
-    /// Takes in something that happened outside.
+    /// Handles an event.
     pub fn step(&mut self, now: Time, wall: Wall, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Answered(attempt, answer) => self.answered(now, attempt, answer, out),
-            Event::Appended(sent) => self.batch.ended(sent, now, self.limits.append_interval * 4),
-            Event::Claims(batches) => self.read_claims(now, batches, out),
-            Event::ClaimsCover(from) => self.claims.cover_from(from),
-            Event::ClaimsFresh(at) => self.claims_read = self.claims_read.max(Some(at)),
-            Event::ConfigFresh(at) => self.config_read_at(at),
-            Event::Configured(line) => self.configure(now, line, out),
-            Event::Ended(attempt, tokens) => self.ended(now, attempt, tokens, out),
-            Event::Failed(attempt, failure) => self.failed(now, attempt, failure, out),
-            Event::Gone(request) => self.gone(now, request, out),
-            Event::Heard(heard) => self.heard(now, heard, out),
-            Event::Listed(members, peers) => self.listed(now, members, peers, out),
-            Event::Reported(endpoint, report) => self.reported(now, endpoint, report, out),
+            Event::Answered(attempt, answer) => self.handle_answer(now, attempt, answer, out),
+            Event::Appended(res) => self
+                .appends
+                .finish(res, now, self.limits.append_interval * 4),
+            Event::Claims(batches) => self.apply_claims(now, batches, out),
+            Event::ClaimsCoveredFrom(from) => self.claims.set_covered_from(from),
+            Event::ClaimsCaughtUp(at) => self.claims_read_at = self.claims_read_at.max(Some(at)),
+            Event::ConfigCaughtUp(at) => self.mark_config_current(at),
+            Event::Configured(record) => self.apply_config_record(now, record, out),
+            Event::StreamEnded(attempt, total) => self.handle_stream_end(now, attempt, total, out),
+            Event::Failed(attempt, failure) => self.handle_failure(now, attempt, failure, out),
+            Event::CallerDisconnected(request) => self.handle_disconnect(now, request, out),
+            Event::PeerUpdate(update) => self.apply_peer_update(now, update, out),
+            Event::Listed(members, peers) => self.apply_instance_list(now, members, peers, out),
+            Event::Reported(endpoint, report) => self.apply_report(now, endpoint, report, out),
             Event::Snapshot(snapshot) => self.restore(now, snapshot, out),
-            Event::SnapshotSeen(at) => self.snapshot_seen(at),
+            Event::SnapshotSeen(at) => self.record_snapshot_seen(at),
             Event::Tick => self.tick(now, wall, out),
-            Event::Token(attempt, index, payload) => self.token(now, attempt, index, payload, out),
+            Event::Token(attempt, index, data) => self.handle_token(now, attempt, index, data, out),
             Event::Unreachable(endpoint) => {
                 if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
                     endpoint.report = None;
@@ -193,36 +194,38 @@
         }
     }
 
-    /// Whether knowledge of the configuration is young enough for other failure domains.
+    /// Whether the configuration is fresh enough to use other failure domains.
     #[must_use]
-    pub fn fresh(&self, now: Time) -> bool {
-        self.config_read
-            .is_some_and(|read| now.since(read) <= self.limits.staleness)
+    pub fn config_fresh(&self, now: Time) -> bool {
+        self.config_read_at
+            .is_some_and(|at| now.since(at) <= self.limits.staleness)
     }
 
-    /// Whether the claim stream was read to its end recently.
+    /// Whether the claim stream was read to its end within [`Limits::staleness`].
     #[must_use]
     pub fn claims_fresh(&self, now: Time) -> bool {
-        self.claims_read
-            .is_some_and(|read| now.since(read) <= self.limits.staleness)
+        self.claims_read_at
+            .is_some_and(|at| now.since(at) <= self.limits.staleness)
     }
 
     /// Time since the configuration was last known to be complete.
     #[must_use]
     pub fn staleness(&self, now: Time) -> Option<Duration> {
-        self.config_read.map(|read| now.since(read))
+        self.config_read_at.map(|at| now.since(at))
     }
 
-    /// Whether the instance can serve: configuration and instance list are read.
+    /// Whether the instance can serve, having read the configuration and the instance list.
     #[must_use]
     pub fn ready(&self) -> bool {
-        self.config.seen() && !self.endpoints.is_empty()
+        self.config.is_loaded() && !self.endpoints.is_empty()
     }
 
-    /// Records that a request uses an order key.
-    pub(crate) fn join_order(&mut self, key: request::Key, name: order::Key) {
-        let place = self.orders.partition_point(|(other, _)| *other <= name);
-        self.orders.insert(place, (name, key));
+    /// Registers a request that uses an order key.
+    pub(crate) fn register_order(&mut self, key: request::Key, order_key: order::Key) {
+        let index = self
+            .orders
+            .partition_point(|(other, _)| *other <= order_key);
+        self.orders.insert(index, (order_key, key));
     }
 
     /// The full order key of a request.
@@ -234,7 +237,7 @@
         }
     }
 
-    /// The run that an attempt names, if it is still current.
+    /// The run of an attempt, if the attempt is still current.
     pub(crate) fn run(&mut self, attempt: Attempt) -> Option<&mut Run> {
         match &mut self.requests.get_mut(attempt.request)?.phase {
             Phase::Running(run) if run.generation == attempt.generation => Some(run),
@@ -242,43 +245,43 @@
         }
     }
 
-    /// Requests in progress here that use an order key.
-    pub(crate) fn with_order(&self, name: order::Key) -> Vec<request::Key> {
-        let first = self.orders.partition_point(|(other, _)| *other < name);
+    /// Requests of this instance that use an order key.
+    pub(crate) fn requests_with_order(&self, order_key: order::Key) -> Vec<request::Key> {
+        let first = self.orders.partition_point(|(other, _)| *other < order_key);
         let same = self.orders[first..]
             .iter()
-            .take_while(|(other, _)| *other == name);
+            .take_while(|(other, _)| *other == order_key);
         same.map(|(_, key)| *key).collect()
     }
 
     fn gossip(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.gossip > now {
+        if self.next_gossip > now {
             return;
         }
-        self.gossip = now.after(self.limits.gossip_interval);
-        self.round += 1;
-        for peer in self.fellows(self.round) {
+        self.next_gossip = now.after(self.limits.gossip_interval);
+        self.gossip_round += 1;
+        for peer in self.gossip_peers(self.gossip_round) {
             out.push(Action::Gossip(peer.address.clone()));
         }
     }
 
-    fn reject(
+    fn check_arrival(
         &self,
         customer: Option<customer::Key>,
         key: request::Key,
     ) -> Option<(Refusal, Option<Duration>)> {
-        if !self.config.seen() {
-            return Some((Refusal::NoConfig, Some(ROOM_RETRY)));
+        if !self.config.is_loaded() {
+            return Some((Refusal::NoConfig, Some(RETRY_AFTER)));
         }
         if customer.is_none() {
             return Some((Refusal::UnknownCustomer, None));
         }
-        let known = match &self.requests[key].work {
+        let route_known = match &self.requests[key].work {
             Work::Call { service, .. } => self.config.service(service).is_some(),
             Work::Generation { model, .. } => self.config.route(model).is_some(),
             Work::Resume { .. } => true,
         };
-        if known {
+        if route_known {
             None
         } else {
             Some((Refusal::UnknownRoute, None))
@@ -288,13 +291,13 @@
     fn tick(&mut self, now: Time, wall: Wall, out: &mut Vec<Action>) {
         let keys = self.requests.keys().collect::<Vec<_>>();
         for key in keys {
-            self.watch(now, key, out);
+            self.check_timeouts(now, key, out);
         }
-        self.poll(now, out);
-        self.note_absent(now);
-        self.tend(now);
+        self.poll_endpoints(now, out);
+        self.track_absent_instances(now);
+        self.propose_slow_start(now);
         self.gossip(now, out);
-        self.snapshot(now, wall, out);
+        self.append_snapshot_if_due(now, wall, out);
         self.claims
             .expire(wall.before(self.limits.order_window + self.limits.skew * 3));
         self.flush(now, out);
@@ -303,7 +306,7 @@
 
     /// Starts the next append if one is due.
     pub fn flush(&mut self, now: Time, out: &mut Vec<Action>) {
-        if let Some(entries) = self.batch.take(now, self.limits.append_interval) {
+        if let Some(entries) = self.appends.start_append(now, self.limits.append_interval) {
             out.push(Action::Append(Batch {
                 entries,
                 instance: self.digest,
@@ -312,7 +315,7 @@
     }
 }
 
-/// First eight bytes of the hash of a name, for records where names are too long.
+/// 64-bit digest of a name, used in place of the name in log entries.
 #[must_use]
 pub fn digest(name: &str) -> u64 {
     rendezvous(name, "")
--- a/crates/decision/src/stream.rs
+++ b/crates/decision/src/stream.rs
@@ -1,13 +1,13 @@
-//! Generations: each token once, in order, from one generation.
+//! Token streams: each token is delivered once, in order, from one generation.
 
 use crate::{invariant::Rule, prelude::*, request::Run};
 
-/// Connections opened again without a token in between before a stream is cut.
-const MOST_RESUMES: u32 = 5;
+/// Number of resumes without a token in between after which a stream is cut.
+const MAX_RESUMES: u32 = 5;
 
 impl State {
-    /// A token came.
-    pub(crate) fn token(
+    /// Handles a token.
+    pub(crate) fn handle_token(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -19,13 +19,13 @@
             self.stats.late += 1;
             return;
         };
-        if run.left.is_some() {
+        if run.disconnected_at.is_some() {
             return;
         }
-        run.progress = now;
+        run.last_progress = now;
         run.resumes = 0;
-        // A resumed connection may repeat tokens that a silent one delivered after
-        // all; the caller would read a sentence twice. Only the next index passes.
+        // After a resume, the old connection may still deliver tokens that the new one
+        // repeats. Only the next index is passed on.
         if index < run.next {
             self.stats.late += 1;
             return;
@@ -40,12 +40,12 @@
             self.requests[attempt.request].next() == index + 1,
         );
         self.stats.tokens += 1;
-        self.charge(attempt.request);
+        self.count_served_token(attempt.request);
         out.push(Action::Deliver(attempt.request, index, payload));
     }
 
-    /// A stream ended as it should.
-    pub(crate) fn ended(
+    /// Handles the end of a stream after `tokens` tokens.
+    pub(crate) fn handle_stream_end(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -56,23 +56,23 @@
             self.stats.late += 1;
             return;
         };
-        // The end can overtake tokens that are still on another connection; ending
-        // here would leave them out without a word.
+        // The end can overtake tokens on another connection; finishing here would silently
+        // drop them.
         if tokens != run.next {
             self.resume(now, attempt, out);
             return;
         }
         let endpoint = run.endpoint;
         if let Work::Generation { model, .. } = &self.requests[attempt.request].work {
-            self.lengths.learn(model, tokens);
+            self.output_lengths.learn(model, tokens);
         }
-        self.bore(endpoint, attempt.generation);
+        self.record_served(endpoint, attempt.generation);
         self.finish(attempt.request, Outcome::Answered(None), out);
         self.dispatch(now, out);
     }
 
-    /// A connection of a generation failed.
-    pub(crate) fn stream_failed(
+    /// Handles a failed connection of a generation.
+    pub(crate) fn handle_stream_failure(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -82,8 +82,8 @@
         let Some(run) = self.run(attempt) else {
             return;
         };
-        let (next, resumes, left) = (run.next, run.resumes, run.left);
-        if left.is_some() {
+        let (next, resumes, disconnected_at) = (run.next, run.resumes, run.disconnected_at);
+        if disconnected_at.is_some() {
             return;
         }
         match failure {
@@ -103,10 +103,10 @@
                 );
                 self.dispatch(now, out);
             }
-            // A refusal that comes after tokens belongs to a connection given up before.
+            // A refusal after the first token belongs to an abandoned connection.
             Failure::Broken | Failure::NotRun(_) | Failure::Unreachable => {
-                // The first break is answered at once; later ones wait for the silence
-                // bound, so that an endpoint that is down is not asked in a tight loop.
+                // The first failure is followed by an immediate resume, later ones only after
+                // `Limits::silence`, so that a failed endpoint is not polled in a tight loop.
                 if resumes == 0 {
                     self.resume(now, attempt, out);
                 }
@@ -114,17 +114,16 @@
         }
     }
 
-    /// Reads the generation again on a new connection.
+    /// Resumes a generation on a new connection, from the next index.
     ///
-    /// A connection can go silent for good because something between the two ends
-    /// forgot it, while new ones work; one notices tokens stopping with the engine
-    /// still decoding. A second connection from the next index brings the rest.
+    /// A connection can be dropped silently by a middlebox, so that tokens stop arriving
+    /// although the engine is still decoding and new connections work.
     pub(crate) fn resume(&mut self, now: Time, attempt: Attempt, out: &mut Vec<Action>) {
         let Some(run) = self.run(attempt) else {
             return;
         };
         let (next, endpoint) = (run.next, run.endpoint);
-        if run.resumes >= MOST_RESUMES {
+        if run.resumes >= MAX_RESUMES {
             self.cancel(attempt, false, out);
             if next == 0 {
                 self.retry(now, attempt, None, out);
@@ -138,7 +137,7 @@
             return;
         }
         run.resumes += 1;
-        run.progress = now;
+        run.last_progress = now;
         self.stats.resumed += 1;
         out.push(Action::Resume {
             attempt,
@@ -147,8 +146,13 @@
         });
     }
 
-    /// Takes up a generation that another connection began.
-    pub(crate) fn take_up(&mut self, now: Time, key: request::Key, out: &mut Vec<Action>) {
+    /// Attaches a request to a generation that was started on another connection.
+    pub(crate) fn attach_to_generation(
+        &mut self,
+        now: Time,
+        key: request::Key,
+        out: &mut Vec<Action>,
+    ) {
         let Work::Resume {
             endpoint,
             generation,
@@ -158,7 +162,7 @@
             return;
         };
         let (generation, next) = (*generation, *next);
-        let Some(endpoint) = self.named(endpoint) else {
+        let Some(endpoint) = self.endpoint_by_name(endpoint) else {
             self.refuse(key, Refusal::NotResumable, None, out);
             return;
         };
@@ -169,7 +173,7 @@
         let request = &mut self.requests[key];
         if let Phase::Waiting {
             proof: Some(proof), ..
-        } = std::mem::replace(&mut request.phase, Phase::Moving)
+        } = std::mem::replace(&mut request.phase, Phase::Transition)
         {
             proof.send();
         }
@@ -177,10 +181,10 @@
             claim: None,
             endpoint,
             generation,
-            left: None,
+            disconnected_at: None,
             next,
-            progress: now,
-            promised: 0,
+            last_progress: now,
+            reserved_tokens: 0,
             resumes: 0,
         });
         self.endpoints[endpoint].running += 1;
@@ -204,8 +208,8 @@
         });
     }
 
-    /// Counts a token towards the customer's share.
-    fn charge(&mut self, key: request::Key) {
+    /// Charges a token to the customer.
+    fn count_served_token(&mut self, key: request::Key) {
         let customer = self.requests[key].customer;
         if let Some(customer) = self.config.customers.get_mut(customer) {
             customer.served += 1.0;
--- a/crates/decision/tests/fairness.rs
+++ b/crates/decision/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! Turns between customers.
+//! Fairness between customers and between models.
 
 use {
     bytes::Bytes,
@@ -8,12 +8,12 @@
         batch,
         endpoint::{Kind as EndpointKind, Member, Report},
         event::Event,
-        gossip::Line,
+        gossip::ConfigRecord,
         limits::Limits,
         record::{Body, Change, Customer, Item, Kind, Record, Route, Version},
+        slow_start,
         state::State,
         time::{Time, Wall},
-        warmth,
     },
     std::time::Duration,
 };
@@ -55,7 +55,7 @@
         ],
         schema: 1,
     };
-    let line = Line {
+    let line = ConfigRecord {
         data: Bytes::new(),
         offset: 0,
         record,
@@ -65,8 +65,8 @@
     state
 }
 
-/// Lists one engine for each model, and lets this instance have parts of both.
-fn open(state: &mut State, rooms: [(&str, u64); 2]) {
+/// Lists one warm engine for each model, with the given KV-cache capacity in tokens.
+fn list_engines(state: &mut State, capacities: [(&str, u64); 2]) {
     let now = Time::from_micros(1_000_000);
     let member = |name: &str| Member {
         name: name.to_string(),
@@ -75,23 +75,23 @@
         kind: EndpointKind::Engine,
         leaving: false,
     };
-    let members = rooms.iter().map(|(model, _)| member(model)).collect();
+    let members = capacities.iter().map(|(model, _)| member(model)).collect();
     let mut out = Vec::new();
     state.step(now, Wall(0), Event::Listed(members, Vec::new()), &mut out);
-    state.step(now, Wall(0), Event::ConfigFresh(now), &mut out);
+    state.step(now, Wall(0), Event::ConfigCaughtUp(now), &mut out);
     let keys = state
         .endpoints
         .iter()
         .map(|(key, endpoint)| (key, endpoint.member.name.clone()));
     for (key, name) in keys.collect::<Vec<_>>() {
-        let (_, capacity) = rooms
+        let (_, capacity) = capacities
             .iter()
             .find(|(model, _)| *model == name)
-            .expect("it is listed");
+            .expect("the engine of the model is listed");
         let report = Report {
             capacity: *capacity,
             models: vec![name],
-            started: 1,
+            incarnation: 1,
             ..Report::default()
         };
         state.step(now, Wall(0), Event::Reported(key, report), &mut out);
@@ -102,16 +102,16 @@
         .map(|endpoint| endpoint.digest)
         .collect::<Vec<_>>();
     let entries = engines.iter().flat_map(|digest| {
-        let take = warmth::Kind::Take {
+        let initialize = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
-            parts: Vec::new(),
+            quotas: Vec::new(),
         };
-        [take, warmth::Kind::Warm].map(|kind| {
-            batch::Entry::Warmth(warmth::Entry {
+        [initialize, slow_start::Kind::Warm].map(|kind| {
+            batch::Entry::SlowStart(slow_start::Entry {
                 endpoint: *digest,
                 kind,
-                started: 1,
+                incarnation: 1,
             })
         })
     });
@@ -122,15 +122,14 @@
     state.step(now, Wall(0), Event::Claims(vec![batch]), &mut out);
 }
 
-/// A hundred drafts wait for a model whose engine is full, and then somebody asks
-/// another model for a check. Its engine is idle; the organiser must not wait
-/// behind drafts that have nothing to do with it.
+/// More requests than one dispatch searches for wait for a model without capacity. A request
+/// for another model, whose engine is idle, must still be sent at once.
 #[test]
-fn a_check_for_an_idle_model_does_not_wait_behind_drafts_for_a_full_one() {
+fn request_for_idle_model_is_not_blocked_by_saturated_model() {
     let mut state = state();
-    open(&mut state, [("m", 0), ("n", 100_000)]);
+    list_engines(&mut state, [("m", 0), ("n", 100_000)]);
     let now = Time::from_micros(1_000_000);
-    let mut ask = |model: &str| {
+    let mut sent_at_once = |model: &str| {
         let arrival = Arrival {
             credential: [1; 32],
             deadline: now.after(Duration::from_secs(9)),
@@ -146,9 +145,9 @@
             .any(|action| matches!(action, Action::Send { .. }))
     };
     for _ in 0..100 {
-        assert!(!ask("m"));
+        assert!(!sent_at_once("m"));
     }
-    assert!(ask("n"));
+    assert!(sent_at_once("n"));
 }
 
 fn arrive(state: &mut State, credential: u8) {
@@ -165,22 +164,27 @@
     state.arrive(now, Wall(0), arrival, &mut Vec::new());
 }
 
-/// A customer comes back after a quiet day, while another has been served all the
-/// time. Were the quiet day counted as a claim, the other one would wait until it
-/// was used up; the two take turns from here on.
+/// The counter of a customer that returns after an idle period is raised to the lowest active
+/// one; otherwise it would be served before all others until it had caught up.
 #[test]
-fn a_customer_who_was_away_takes_turns_from_now_on() {
+fn returning_customer_starts_at_the_lowest_active_share() {
     let mut state = state();
-    let busy = state.config.customer(&[2; 32]).expect("it is published");
-    let away = state.config.customer(&[1; 32]).expect("it is published");
+    let busy = state
+        .config
+        .customer(&[2; 32])
+        .expect("the customer is published");
+    let returning = state
+        .config
+        .customer(&[1; 32])
+        .expect("the customer is published");
     state.config.customers[busy].served = 5_000.0;
     let request = decision::request::Request {
-        arrived: Time::default(),
+        arrived_at: Time::default(),
         customer: busy,
         deadline: Time::MAX,
-        phase: decision::request::Phase::Moving,
+        phase: decision::request::Phase::Transition,
         sends: 0,
-        tried: None,
+        last_endpoint: None,
         work: Work::Resume {
             endpoint: String::new(),
             generation: decision::generation::Id(0),
@@ -189,5 +193,5 @@
     };
     state.requests.insert(request);
     arrive(&mut state, 1);
-    assert!((state.config.customers[away].served - 5_000.0).abs() < f64::EPSILON);
+    assert!((state.config.customers[returning].served - 5_000.0).abs() < f64::EPSILON);
 }
--- a/crates/decision/tests/repeats.rs
+++ b/crates/decision/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Orders sent again to an endpoint that knows its keys.
+//! Retries of orders at an endpoint that deduplicates them.
 
 use {
     bytes::Bytes,
@@ -9,42 +9,42 @@
         batch,
         endpoint::{Kind as EndpointKind, Member},
         event::{Event, Failure},
-        gossip::Line,
+        gossip::ConfigRecord,
         limits::Limits,
         order::Order,
         outcome::{Evidence, Outcome},
         record::{Body, Change, Customer, Facts, Item, Kind, Record, Service},
+        slow_start,
         state::{State, digest},
         time::{Time, Wall},
-        warmth,
     },
     std::time::Duration,
 };
 
-/// Wall time of the test, in milliseconds.
-const WALL: u64 = 1_800_000_000_000;
+/// Wall time of the test, in milliseconds since the Unix epoch.
+const WALL_MS: u64 = 1_800_000_000_000;
 
-struct Desk {
+struct Harness {
     now: Time,
     out: Vec<Action>,
     state: State,
 }
 
-impl Desk {
+impl Harness {
     fn new() -> Self {
-        let mut desk = Self {
+        let mut harness = Self {
             now: Time::from_micros(1_000_000),
             out: Vec::new(),
             state: State::new("entry", "north", Limits::default(), 1),
         };
-        desk.step(Event::Configured(Line {
+        harness.step(Event::Configured(ConfigRecord {
             data: Bytes::new(),
             offset: 0,
             record: record(),
         }));
-        desk.step(Event::ConfigFresh(desk.now));
-        desk.step(Event::ClaimsCover(Wall(0)));
-        desk.step(Event::ClaimsFresh(desk.now));
+        harness.step(Event::ConfigCaughtUp(harness.now));
+        harness.step(Event::ClaimsCoveredFrom(Wall(0)));
+        harness.step(Event::ClaimsCaughtUp(harness.now));
         let member = Member {
             name: "desk".to_string(),
             address: "desk".to_string(),
@@ -52,31 +52,32 @@
             kind: EndpointKind::Service("desk".to_string()),
             leaving: false,
         };
-        desk.step(Event::Listed(vec![member], Vec::new()));
-        let take = warmth::Kind::Take {
+        harness.step(Event::Listed(vec![member], Vec::new()));
+        let initialize = slow_start::Kind::Initialize {
             expected: None,
             limit: 1,
-            parts: Vec::new(),
+            quotas: Vec::new(),
         };
-        let entries = [take, warmth::Kind::Warm].map(|kind| {
-            batch::Entry::Warmth(warmth::Entry {
+        let entries = [initialize, slow_start::Kind::Warm].map(|kind| {
+            batch::Entry::SlowStart(slow_start::Entry {
                 endpoint: digest("desk"),
                 kind,
-                started: digest("desk"),
+                incarnation: digest("desk"),
             })
         });
-        desk.step(Event::Claims(vec![batch::Batch {
+        harness.step(Event::Claims(vec![batch::Batch {
             entries: entries.to_vec(),
             instance: 1,
         }]));
-        desk
+        harness
     }
 
     fn step(&mut self, event: Event) {
-        self.state.step(self.now, Wall(WALL), event, &mut self.out);
+        self.state
+            .step(self.now, Wall(WALL_MS), event, &mut self.out);
     }
 
-    /// Places an order, lets its claim into the log and returns its first attempt.
+    /// Submits an order, commits its claim to the log and returns its first attempt.
     fn order(&mut self) -> Attempt {
         let arrival = Arrival {
             credential: [1; 32],
@@ -85,13 +86,13 @@
                 idempotent: false,
                 order: Some(Order {
                     body: 1,
-                    uuid: u128::from(WALL) << 80,
+                    uuid: u128::from(WALL_MS) << 80,
                 }),
                 service: "desk".to_string(),
             },
         };
         self.state
-            .arrive(self.now, Wall(WALL), arrival, &mut self.out);
+            .arrive(self.now, Wall(WALL_MS), arrival, &mut self.out);
         self.state.flush(self.now, &mut self.out);
         let batches = self.out.drain(..).filter_map(|action| match action {
             Action::Append(batch) => Some(batch),
@@ -138,33 +139,32 @@
     }
 }
 
-/// The first answer is lost, and the desk is gone when it is asked again. That the
-/// second try reached nobody does not make the first one unsent: the organiser is
-/// told that the badge may have been printed, not that it was not.
+/// The first attempt may have run, so evidence that the retry did not run must not finish the
+/// order as not run.
 #[test]
-fn a_second_try_that_reached_nobody_does_not_unsend_the_first() {
-    let mut desk = Desk::new();
-    let first = desk.order();
-    desk.step(Event::Failed(first, Failure::Broken));
-    let second = desk
+fn retry_that_did_not_run_does_not_refuse_the_order_as_not_run() {
+    let mut harness = Harness::new();
+    let first = harness.order();
+    harness.step(Event::Failed(first, Failure::Broken));
+    let second = harness
         .sent()
-        .expect("the desk that knows its keys is asked again");
-    let nobody = Failure::NotRun(Evidence::NothingWritten);
-    desk.step(Event::Failed(second, nobody));
-    let ends = desk.out.drain(..).filter_map(|action| match action {
+        .expect("the order is retried at the endpoint that deduplicates it");
+    let not_run = Failure::NotRun(Evidence::NothingWritten);
+    harness.step(Event::Failed(second, not_run));
+    let outcomes = harness.out.drain(..).filter_map(|action| match action {
         Action::Finish(_, outcome) => Some(outcome),
         _ => None,
     });
-    let ends = ends.collect::<Vec<_>>();
+    let outcomes = outcomes.collect::<Vec<_>>();
     assert!(
-        matches!(ends.as_slice(), [Outcome::MayHaveRun(_)]),
-        "{ends:?}"
+        matches!(outcomes.as_slice(), [Outcome::MayHaveRun(_)]),
+        "{outcomes:?}"
     );
-    // A void would free the key, and a repeat would print the badge again.
-    desk.step(Event::Appended(batch::Sent::Done));
-    desk.now = desk.now.after(Duration::from_secs(1));
-    desk.state.flush(desk.now, &mut desk.out);
-    let appended = format!("{:?}", desk.out);
+    // Voiding the claim would free the key, and a repeated order would run again.
+    harness.step(Event::Appended(batch::AppendResult::Done));
+    harness.now = harness.now.after(Duration::from_secs(1));
+    harness.state.flush(harness.now, &mut harness.out);
+    let appended = format!("{:?}", harness.out);
     assert!(
         appended.contains("Lost") && !appended.contains("Void"),
         "{appended}"
