--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! What is known of one endpoint.
 
-use crate::{load::digest, pace::Pace, prelude::*};
+use crate::{load::digest, rate_limit::Pace, prelude::*};
 
 /// First pause after an endpoint could not be reached.
 ///
--- a/crates/forward/tests/histories.rs
+++ b/crates/forward/tests/histories.rs
@@ -4,7 +4,7 @@
 //! run is `HISTORIES=1000000 SEED=7 cargo test --release -p forward --test histories`.
 
 mod common;
-mod world;
+mod simulation;
 
 use {
     proptest::{
@@ -13,7 +13,7 @@
         test_runner::{RngSeed, TestRunner},
     },
     std::cell::Cell,
-    world::{ENGINES, INSTANCES, KEYS, Op, World},
+    simulation::{ENGINES, INSTANCES, KEYS, Op, World},
 };
 
 /// Histories run where the environment names no number.
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use {
     common::*,
-    forward::{budget::Budget, pace::Pace},
+    forward::{budget::Budget, rate_limit::Pace},
     proptest::prelude::*,
 };
 
