--- a/crates/forward/src/aggregate/domains.rs
+++ b/crates/forward/src/aggregate/domains.rs
@@ -20,7 +20,7 @@
     /// Orders the sender's messages within its life.
     pub number: u64,
     /// Life of the sender's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Load by digest of the endpoint, sorted.
     pub rows: Report,
 }
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Sum {
     at: Time,
-    life: u64,
+    incarnation: u64,
     members: u32,
     number: u64,
     rank: Rank,
@@ -84,7 +84,7 @@
         };
         let known = domain.sums.iter().position(|sum| sum.sender == sender);
         if let Some(known) = known
-            && domain.sums[known].life != part.life
+            && domain.sums[known].incarnation != part.incarnation
         {
             domain.sums.remove(known);
         }
@@ -93,7 +93,7 @@
             let found = domain.sums.partition_point(|sum| sum.rank < rank);
             let sum = Sum {
                 at: now,
-                life: part.life,
+                incarnation: part.incarnation,
                 members: 0,
                 number: 0,
                 rank,
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -26,7 +26,7 @@
     /// Number of the report that is answered; the sum counts it.
     pub echo: u64,
     /// Life of the aggregator's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Members that report to the aggregator.
     pub members: u32,
 }
@@ -37,7 +37,7 @@
     aggregator: String,
     /// When the report was sent that was answered last.
     asked: Time,
-    life: u64,
+    incarnation: u64,
     members: u32,
     /// What this instance reported itself, which the rows count.
     own: Report,
@@ -109,7 +109,7 @@
             let view = View {
                 aggregator: aggregator.to_string(),
                 asked,
-                life: answer.life,
+                incarnation: answer.incarnation,
                 members: 0,
                 own: Vec::new(),
                 rank,
@@ -121,8 +121,8 @@
             found
         });
         let view = &mut self.views[found];
-        if view.life != answer.life {
-            view.life = answer.life;
+        if view.incarnation != answer.incarnation {
+            view.incarnation = answer.incarnation;
             view.rows.clear();
             view.rows_asked = None;
             view.version = 0;
@@ -144,7 +144,7 @@
     pub fn version(&self, aggregator: &str) -> (u64, u64) {
         let mut views = self.views.iter();
         let view = views.find(|view| view.aggregator == aggregator);
-        view.map_or((0, 0), |view| (view.life, view.version))
+        view.map_or((0, 0), |view| (view.incarnation, view.version))
     }
 
     /// The aggregator to ask for rows: the first by rank among those that answer, unless it
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -27,7 +27,7 @@
 
 /// What an instance says of its knowledge of one topic.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Word {
+pub struct Watermark {
     /// How old its knowledge was when it said so; `None` if it knows nothing.
     pub age: Option<Duration>,
     /// Offset after the last record that it has.
@@ -42,23 +42,23 @@
 /// were taken away and routes that were moved stay in use. So a time counts only within
 /// the life that gave it out.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Mark {
+pub struct EchoTimestamp {
     /// Time on the instance's own clock.
     pub at: Time,
     /// Drawn at the start of the process; zero is no life.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
-impl Word {
+impl Watermark {
     /// Since when this instance's knowledge is proved by the word, if it has all the records
     /// that its sender had: the sender said so after it had heard of the time `echo`.
     ///
     /// When the word arrives proves nothing. It may have waited in a buffer through a
     /// freeze, and a key that was taken away meanwhile would be used on.
     #[must_use]
-    pub fn proves(self, echo: Mark, life: u64, position: u64) -> Option<Time> {
+    pub fn confirms(self, echo: EchoTimestamp, incarnation: u64, position: u64) -> Option<Time> {
         let age = self.age?;
-        (echo.life == life && position >= self.position).then(|| echo.at.before(age))
+        (echo.incarnation == incarnation && position >= self.position).then(|| echo.at.before(age))
     }
 }
 
@@ -66,10 +66,10 @@
 /// to 1 s and a word takes up to half a second, so it is hardly ever passed while the
 /// reader follows the store; and a change that only others can read yet is known here
 /// within the two seconds that it may take.
-pub const ENOUGH: Duration = Duration::from_millis(1700);
+pub const MAX_WATERMARK_AGE: Duration = Duration::from_millis(1700);
 
 /// The same for the list of instances, whose age bounds nothing.
-pub const ENOUGH_INSTANCES: Duration = Duration::from_secs(30);
+pub const MAX_INSTANCE_LIST_AGE: Duration = Duration::from_secs(30);
 
 /// Time without a word after which an instance's entry is dropped. A partition lasts
 /// minutes as a rule; an hour costs two writes.
@@ -106,9 +106,9 @@
 
 /// What an instance knows itself of a topic.
 #[derive(Clone, Copy, Debug)]
-pub struct Own<'a> {
+pub struct LocalTopic<'a> {
     /// Age up to which a fellow's word is enough.
-    pub enough: Duration,
+    pub max_age: Duration,
     /// Age of its knowledge.
     pub freshness: Freshness,
     /// Its name.
@@ -128,7 +128,7 @@
     aggregated: Option<Time>,
     at: Time,
     name: String,
-    words: [Word; TOPICS],
+    words: [Watermark; TOPICS],
 }
 
 impl Heard {
@@ -147,7 +147,7 @@
 
 impl Readers {
     /// Takes a fellow's words in.
-    pub fn hear(&mut self, name: &str, at: Time, aggregates: bool, words: [Word; TOPICS]) {
+    pub fn hear(&mut self, name: &str, at: Time, aggregates: bool, words: [Watermark; TOPICS]) {
         let mut heard = Heard {
             aggregated: aggregates.then_some(at),
             at,
@@ -173,11 +173,11 @@
     /// within two seconds by every instance that reaches the store, also when the reader
     /// does not reach it; callers of a route that was moved would be served by the old
     /// service otherwise.
-    pub fn must_read(&mut self, own: Own<'_>, now: Time) -> Option<Cause> {
-        if self.reads(own, now) {
+    pub fn must_read(&mut self, own: LocalTopic<'_>, now: Time) -> Option<Cause> {
+        if self.is_reader(own, now) {
             return Some(Cause::Reader);
         }
-        if !own.freshness.within(now, own.enough) {
+        if !own.freshness.within(now, own.max_age) {
             return Some(Cause::Old);
         }
         let on_the_way = match own.role {
@@ -195,7 +195,7 @@
     /// While nobody follows the store, the first of all reads, and the others ask rarely; calls
     /// of an absent store count, and those of one instance tell as much as those of all.
     #[must_use]
-    pub fn reads(&self, own: Own<'_>, now: Time) -> bool {
+    pub fn is_reader(&self, own: LocalTopic<'_>, now: Time) -> bool {
         if own.role == Role::Member {
             return false;
         }
@@ -205,14 +205,14 @@
         let follows = |heard: &&Heard| {
             heard.words[own.topic]
                 .age
-                .is_some_and(|age| age <= own.enough)
+                .is_some_and(|age| age <= own.max_age)
         };
         let rank_of = |heard: &Heard| rank(&heard.name, own.topic);
         let first = rivals.clone().filter(follows).map(rank_of).min();
         let own_rank = rank(own.name, own.topic);
         match first {
             // A fellow that has lost the store itself is no help, nor is this instance.
-            Some(first) => own_rank < first && own.freshness.within(now, own.enough),
+            Some(first) => own_rank < first && own.freshness.within(now, own.max_age),
             None => rivals.map(rank_of).all(|other| own_rank < other),
         }
     }
@@ -224,8 +224,8 @@
     /// them in no other way. One would notice a route that was moved, or a key that was
     /// taken away, still in use there three seconds later.
     #[must_use]
-    pub fn passes_on(&self, cause: Cause, own: Own<'_>, now: Time) -> bool {
-        cause == Cause::Old || self.reads(own, now)
+    pub fn should_relay(&self, cause: Cause, own: LocalTopic<'_>, now: Time) -> bool {
+        cause == Cause::Old || self.is_reader(own, now)
     }
 
     /// Whether the entry of a fellow that has been listed since `listed` is to be dropped:
@@ -251,7 +251,7 @@
 
     /// Whether no fellow was heard of late.
     #[must_use]
-    pub fn alone(&self, now: Time) -> bool {
+    pub fn is_isolated(&self, now: Time) -> bool {
         !self.heard.iter().any(|heard| now.since(heard.at) <= ALIVE)
     }
 
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -46,7 +46,7 @@
     /// Neither hears nor says anything.
     frozen: bool,
     heard: u64,
-    life: u64,
+    incarnation: u64,
     members: Members,
     name: String,
     own: Report,
@@ -86,7 +86,7 @@
             fellows: Fellows::default(),
             frozen: false,
             heard: 0,
-            life: 1,
+            incarnation: 1,
             members: members.clone(),
             name: name(place),
             own: Vec::new(),
@@ -189,7 +189,7 @@
         add_rows(&mut rows, &node.own);
         let part = Part {
             covers: Some((0, u32::MAX)),
-            life: node.life,
+            incarnation: node.incarnation,
             members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
             number: self.now * 1000,
             rows,
@@ -217,14 +217,14 @@
             Message::Report(micros, rows, holds) => {
                 node.sums
                     .report(now, &mut node.fellows, &sender, micros, rows);
-                let changes = holds.map(|(life, version)| {
-                    let since = if life == node.life { version } else { 0 };
+                let changes = holds.map(|(incarnation, version)| {
+                    let since = if incarnation == node.incarnation { version } else { 0 };
                     node.sums.table.changes(since, 200)
                 });
                 let answer = Answer {
                     changes,
                     echo: micros,
-                    life: node.life,
+                    incarnation: node.incarnation,
                     members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
                 };
                 node.said += 1;
@@ -397,10 +397,10 @@
         };
         (5, load)
     };
-    let answer = |echo, life, changes| Answer {
+    let answer = |echo, incarnation, changes| Answer {
         changes: Some(changes),
         echo,
-        life,
+        incarnation,
         members: 60,
     };
     views.reported(1_000_000, Vec::new());
@@ -430,7 +430,7 @@
     let answer = Answer {
         changes: Some(Changes::default()),
         echo: 1_000_000,
-        life: 1,
+        incarnation: 1,
         members: 60,
     };
     assert!(sums.views.hear("e1", FIRST, answer));
@@ -456,7 +456,7 @@
     let answer = Answer {
         changes: Some(changes),
         echo: 1_000_000,
-        life: 1,
+        incarnation: 1,
         members: 60,
     };
     assert!(views.hear("e1", FIRST, answer));
@@ -474,7 +474,7 @@
     };
     let part = |number, covers, rows| Part {
         covers,
-        life: 1,
+        incarnation: 1,
         members: 60,
         number,
         rows,
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -8,17 +8,17 @@
         aggregate::members::Role,
         freshness::Freshness,
         load::Fellows,
-        reader::{Cause, ENOUGH, ENOUGH_INSTANCES, Mark, Own, Readers, Word},
+        reader::{Cause, MAX_WATERMARK_AGE, MAX_INSTANCE_LIST_AGE, EchoTimestamp, LocalTopic, Readers, Watermark},
     },
 };
 
 const NAMES: [&str; 4] = ["e1", "e2", "e3", "e4"];
 
-fn own(name: &str, proven: u64, position: u64) -> Own<'_> {
+fn own(name: &str, proven: u64, position: u64) -> LocalTopic<'_> {
     let mut freshness = Freshness::default();
     freshness.prove(at(proven));
-    Own {
-        enough: ENOUGH,
+    LocalTopic {
+        max_age: MAX_WATERMARK_AGE,
         freshness,
         name,
         position,
@@ -27,8 +27,8 @@
     }
 }
 
-fn word(age: u64, position: u64) -> [Word; 3] {
-    let word = Word {
+fn word(age: u64, position: u64) -> [Watermark; 3] {
+    let word = Watermark {
         age: Some(millis(age)),
         position,
     };
@@ -98,7 +98,7 @@
 fn a_reader_that_is_turned_away_gives_up_its_place() {
     for name in NAMES {
         let readers = hears(name, 9000);
-        assert!(!readers.reads(own(name, 6000, 7), at(9000)), "{name}");
+        assert!(!readers.is_reader(own(name, 6000, 7), at(9000)), "{name}");
     }
 }
 
@@ -116,14 +116,14 @@
         }
         let own = own(name, 4950, 7);
         let cause = readers.must_read(own, at(6700)).expect("a cause");
-        assert!(readers.passes_on(cause, own, at(6700)), "{name}");
+        assert!(readers.should_relay(cause, own, at(6700)), "{name}");
     }
     let follower = NAMES
         .into_iter()
-        .find(|name| !hears(name, 5000).reads(own(name, 4900, 7), at(5000)))
+        .find(|name| !hears(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
         .expect("a follower");
     let readers = hears(follower, 5000);
-    assert!(!readers.passes_on(Cause::Missing, own(follower, 4900, 6), at(5000)));
+    assert!(!readers.should_relay(Cause::Missing, own(follower, 4900, 6), at(5000)));
 }
 
 /// A machine loses its power and comes back; its clock starts anew. A fellow that has not
@@ -134,13 +134,13 @@
 #[test]
 fn an_echo_of_a_former_life_proves_nothing() {
     let word = word(100, 7)[0];
-    let echo = |life| Mark {
+    let echo = |incarnation| EchoTimestamp {
         at: at(60_000),
-        life,
+        incarnation,
     };
-    assert_eq!(word.proves(echo(11), 12, 7), None);
-    assert_eq!(word.proves(Mark::default(), 12, 7), None);
-    assert_eq!(word.proves(echo(12), 12, 7), Some(at(59_900)));
+    assert_eq!(word.confirms(echo(11), 12, 7), None);
+    assert_eq!(word.confirms(EchoTimestamp::default(), 12, 7), None);
+    assert_eq!(word.confirms(echo(12), 12, 7), Some(at(59_900)));
 }
 
 /// The same fellow numbers its reports from the start again. Its load was passed over until
@@ -173,8 +173,8 @@
             for other in NAMES.into_iter().filter(|other| other != name) {
                 readers.hear(other, at(40_000), true, word(20_000, 7));
             }
-            let own = Own {
-                enough: ENOUGH_INSTANCES,
+            let own = LocalTopic {
+                max_age: MAX_INSTANCE_LIST_AGE,
                 topic: 2,
                 ..own(name, 20_000, 7)
             };
@@ -207,7 +207,7 @@
 fn missing_records_are_read() {
     let name = NAMES
         .into_iter()
-        .find(|name| !hears(name, 5000).reads(own(name, 4900, 7), at(5000)))
+        .find(|name| !hears(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
         .expect("a follower");
     let mut readers = hears(name, 5000);
     assert_eq!(readers.must_read(own(name, 4900, 6), at(5000)), None);
@@ -239,7 +239,7 @@
         } else {
             Role::Member
         };
-        let own = Own {
+        let own = LocalTopic {
             role,
             ..own(name, 900, 7)
         };
@@ -273,7 +273,7 @@
         let mut readers = Readers::default();
         readers.hear(other, at(4900), true, word(300, 7));
         readers.hear(other, at(5000), false, word(300, 7));
-        let own = Own {
+        let own = LocalTopic {
             role: Role::Aggregator,
             ..own(name, 4900, 7)
         };
@@ -289,7 +289,7 @@
 fn a_member_gives_records_the_time_to_come() {
     let mut readers = Readers::default();
     readers.hear("e1", at(5000), true, word(300, 7));
-    let own = Own {
+    let own = LocalTopic {
         role: Role::Member,
         ..own("e2", 4900, 6)
     };
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -4,7 +4,7 @@
 use {
     crate::common::*,
     forward::{
-        reader::{Mark, Word},
+        reader::{EchoTimestamp, Watermark},
         request::Ticket,
     },
     rand::{SeedableRng as _, rngs::SmallRng},
@@ -91,8 +91,8 @@
     cut_until: u64,
     frozen_until: u64,
     /// Numbers that it heard last, by instance.
-    heard: [Mark; INSTANCES],
-    life: u64,
+    heard: [EchoTimestamp; INSTANCES],
+    incarnation: u64,
     /// When it learnt that an engine leaves, and whether the engine said so itself.
     left: [Option<(u64, bool)>; ENGINES],
     position: [usize; 2],
@@ -107,10 +107,10 @@
 #[derive(Clone, Debug)]
 struct Letter {
     arrives: u64,
-    echo: Mark,
+    echo: EchoTimestamp,
     records: Option<usize>,
     to: usize,
-    word: Word,
+    word: Watermark,
 }
 
 /// Since when something has been so.
@@ -149,15 +149,15 @@
 }
 
 impl Instance {
-    fn new(place: usize, life: u64, booted: u64) -> Self {
-        let random = SmallRng::seed_from_u64(life);
+    fn new(place: usize, incarnation: u64, booted: u64) -> Self {
+        let random = SmallRng::seed_from_u64(incarnation);
         Self {
             booted,
             cut_until: 0,
             frozen_until: 0,
-            heard: [Mark::default(); INSTANCES],
+            heard: [EchoTimestamp::default(); INSTANCES],
             left: [None; ENGINES],
-            life,
+            incarnation,
             pending: [None; 2],
             position: [0; 2],
             proven: [None; 2],
@@ -222,9 +222,9 @@
                 }
             }
             Op::Hear(place, from) => {
-                self.instances[place].heard[from] = Mark {
+                self.instances[place].heard[from] = EchoTimestamp {
                     at: self.local(from),
-                    life: self.instances[from].life,
+                    incarnation: self.instances[from].incarnation,
                 };
             }
             Op::Leave(engine) => self.list(engine, true),
@@ -365,7 +365,7 @@
             echo: teller.heard[to],
             records: records.then_some(teller.position[OPERATORS]),
             to,
-            word: Word {
+            word: Watermark {
                 age,
                 position: teller.position[OPERATORS] as u64,
             },
@@ -377,8 +377,8 @@
             self.learn(letter.to, OPERATORS, end);
         }
         let position = self.instances[letter.to].position[OPERATORS] as u64;
-        let Instance { booted, life, .. } = self.instances[letter.to];
-        if let Some(asked) = letter.word.proves(letter.echo, life, position) {
+        let Instance { booted, incarnation, .. } = self.instances[letter.to];
+        if let Some(asked) = letter.word.confirms(letter.echo, incarnation, position) {
             self.prove(letter.to, OPERATORS, booted + asked.micros() / 1000);
         }
     }
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -9,7 +9,7 @@
     },
     forward::{
         aggregate::members::Role,
-        reader::{Cause, ENOUGH, ENOUGH_INSTANCES, Own},
+        reader::{Cause, MAX_WATERMARK_AGE, MAX_INSTANCE_LIST_AGE, LocalTopic},
     },
     platform::store::{Keyed, Topic},
     rand::RngExt as _,
@@ -158,20 +158,20 @@
 }
 
 /// What this instance knows of a topic itself.
-pub fn own(shared: &Shared, topic: Topic) -> Own<'_> {
+pub fn own(shared: &Shared, topic: Topic) -> LocalTopic<'_> {
     let progress = shared.topic(topic);
     let role = gossip::role(shared);
     let linked = shared.readers.borrow().has_aggregator(clock::now());
-    let enough = match topic {
+    let max_age = match topic {
         Topic::Instances if role == Role::Member && !linked => ENOUGH_UNLINKED,
-        Topic::Instances => ENOUGH_INSTANCES,
+        Topic::Instances => MAX_INSTANCE_LIST_AGE,
         Topic::Endpoints | Topic::Operators if role == Role::Member && linked => {
-            ENOUGH + Duration::from_millis(shared.life % PATIENCE_MS)
+            MAX_WATERMARK_AGE + Duration::from_millis(shared.life % PATIENCE_MS)
         }
-        Topic::Endpoints | Topic::Operators => ENOUGH,
+        Topic::Endpoints | Topic::Operators => MAX_WATERMARK_AGE,
     };
-    Own {
-        enough,
+    LocalTopic {
+        max_age,
         freshness: progress.freshness.get(),
         name: &shared.settings.instance.name,
         position: progress.position.get().unwrap_or_default(),
@@ -194,7 +194,7 @@
     let many = gossip::role(shared) != Role::Equal;
     match topic {
         Topic::Instances if many => PAUSE_INSTANCES,
-        _ if many && shared.readers.borrow().alone(clock::now()) => PAUSE_ALONE,
+        _ if many && shared.readers.borrow().is_isolated(clock::now()) => PAUSE_ALONE,
         Topic::Endpoints | Topic::Instances | Topic::Operators => PAUSE,
     }
 }
@@ -241,7 +241,7 @@
     // has passed the records on meanwhile do not do so again; the links would be full of them.
     let news = !tail.records.is_empty() && known.is_none_or(|known| known < reached);
     let own = own(shared, topic);
-    if news && shared.readers.borrow().passes_on(cause, own, asked) {
+    if news && shared.readers.borrow().should_relay(cause, own, asked) {
         records::pass_on(shared, topic, from, &tail.records);
     }
     if reached >= tail.end {
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -11,7 +11,7 @@
     fellow::datagram::Datagrams,
     forward::{
         aggregate::{domains::Part, members::Role, table::Changes, view},
-        reader::{Mark, TOPICS, Word},
+        reader::{EchoTimestamp, TOPICS, Watermark},
     },
     tokio::sync::mpsc,
 };
@@ -68,7 +68,7 @@
     let taken = view::Answer {
         changes,
         echo,
-        life: answer.life,
+        incarnation: answer.life,
         members: answer.members,
     };
     {
@@ -97,7 +97,7 @@
         if domain != shared.settings.instance.domain {
             let part = Part {
                 covers: sum.covers,
-                life: sum.life,
+                incarnation: sum.life,
                 members: sum.members,
                 number: sum.number,
                 rows: sum.loads.into_iter().map(load).collect(),
@@ -127,7 +127,7 @@
     echo: (u64, u64),
     words: [RawWord; TOPICS],
 ) {
-    let words = words.map(|(age, position)| Word {
+    let words = words.map(|(age, position)| Watermark {
         age: age.map(|age| Duration::from_millis(u64::from(age))),
         position,
     });
@@ -137,13 +137,13 @@
         .borrow_mut()
         .hear(name, now, aggregates, words);
     let (life, micros) = echo;
-    let echo = Mark {
+    let echo = EchoTimestamp {
         at: Time::from_micros(micros),
-        life,
+        incarnation,
     };
     for (topic, word) in topic::ALL.into_iter().zip(words) {
         let known = shared.topic(topic).position.get();
-        if let Some(asked) = known.and_then(|position| word.proves(echo, shared.life, position)) {
+        if let Some(asked) = known.and_then(|position| word.confirms(echo, shared.life, position)) {
             follow::prove(shared, topic, asked);
         }
     }
--- a/crates/proxy/src/topic.rs
+++ b/crates/proxy/src/topic.rs
@@ -4,7 +4,7 @@
     crate::{clock, prelude::*},
     forward::{
         freshness::Freshness,
-        reader::{TOPICS, Word},
+        reader::{TOPICS, Watermark},
     },
     platform::store::Topic,
     tokio::sync::Notify,
@@ -41,9 +41,9 @@
 impl Progress {
     /// What this instance says of its knowledge.
     #[must_use]
-    pub fn word(&self) -> Word {
+    pub fn word(&self) -> Watermark {
         let position = self.position.get();
-        Word {
+        Watermark {
             age: position.and(self.freshness.get().age(clock::now())),
             position: position.unwrap_or_default(),
         }
