--- a/crates/forward/src/aggregate/domains.rs
+++ b/crates/forward/src/aggregate/domains.rs
@@ -11,7 +11,7 @@
 
 /// A part of a domain's sum, as it comes in one message.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
+pub struct SumPart {
     /// First and last digest that it covers, where one that is not among the rows has no
     /// load; none if only the rows have changed.
     pub covers: Option<(u32, u32)>,
@@ -69,7 +69,7 @@
 impl Domains {
     /// Takes a part of the sum of a domain in; `rank` is the sender's. One
     /// that was overtaken by a later one changes nothing.
-    pub fn hear(&mut self, now: Time, name: &str, sender: &str, rank: Rank, part: &Part) {
+    pub fn hear(&mut self, now: Time, name: &str, sender: &str, rank: Rank, part: &SumPart) {
         let domain = match self
             .domains
             .binary_search_by(|other| other.name.as_str().cmp(name))
--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -38,7 +38,7 @@
     Aggregator,
     /// One of few, which all tell each other.
     #[default]
-    Equal,
+    Mesh,
     /// One of many that reports to aggregators.
     Member,
 }
@@ -77,7 +77,7 @@
     /// Whether the other one is expected to keep a connection to this one as well.
     pub mutual: bool,
     /// Whether it stands in the own failure domain.
-    pub near: bool,
+    pub same_domain: bool,
 }
 
 /// All instances that have published themselves, the own one included.
@@ -205,7 +205,7 @@
             return Role::Member;
         };
         if !self.are_many() {
-            return Role::Equal;
+            return Role::Mesh;
         }
         let domain = &self.arena[key].domain;
         if self.first(domain, key).contains(&key) {
@@ -227,7 +227,7 @@
             let links = others.map(|(key, other)| Link {
                 key,
                 mutual: true,
-                near: other.domain == domain,
+                same_domain: other.domain == domain,
             });
             return links.collect();
         }
@@ -235,8 +235,8 @@
         let mut links = Vec::new();
         let mut last = "";
         for (other, _, _) in &self.ranks {
-            let near = other == domain;
-            if other == last || !(near || aggregates) {
+            let same_domain = other == domain;
+            if other == last || !(same_domain || aggregates) {
                 continue;
             }
             last = other;
@@ -245,7 +245,7 @@
             links.extend(chosen.filter(|other| *other != key).map(|key| Link {
                 key,
                 mutual: aggregates,
-                near,
+                same_domain,
             }));
         }
         links
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Changes {
     /// Whether the member has to forget what it held.
-    pub anew: bool,
+    pub snapshot: bool,
     /// The rows, the longest unsaid first.
     pub rows: Report,
     /// Version that the member has with them.
@@ -95,8 +95,8 @@
     /// Up to `most` rows that have changed since a version.
     #[must_use]
     pub fn changes(&self, since: u64, most: usize) -> Changes {
-        let anew = since < self.forgotten || since > self.version;
-        let since = if anew { 0 } else { since };
+        let snapshot = since < self.forgotten || since > self.version;
+        let since = if snapshot { 0 } else { since };
         let changed = self.rows.iter().filter(|row| row.changed > since);
         let mut changed = changed.collect::<Vec<_>>();
         changed.sort_unstable_by_key(|row| row.changed);
@@ -108,7 +108,7 @@
         };
         let rows = changed.iter().map(|row| (row.digest, row.load));
         Changes {
-            anew: anew || since == 0,
+            snapshot: snapshot || since == 0,
             rows: rows.collect(),
             version,
         }
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -55,7 +55,7 @@
         if changes.version < self.version {
             return;
         }
-        if changes.anew {
+        if changes.snapshot {
             self.rows.clear();
         }
         self.version = changes.version;
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -181,7 +181,7 @@
             return Some(Cause::Old);
         }
         let on_the_way = match own.role {
-            Role::Equal => ON_THE_WAY,
+            Role::Mesh => ON_THE_WAY,
             Role::Aggregator | Role::Member => ON_THE_LONG_WAY,
         };
         self.misses(own.topic, own.position, now, on_the_way)
@@ -200,7 +200,7 @@
             return false;
         }
         let rivals = self.heard.iter().filter(|heard| {
-            now.since(heard.at) <= ALIVE && (own.role == Role::Equal || heard.aggregates(now))
+            now.since(heard.at) <= ALIVE && (own.role == Role::Mesh || heard.aggregates(now))
         });
         let follows = |heard: &&Heard| {
             heard.words[own.topic]
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -7,7 +7,7 @@
     forward::{
         aggregate::{
             Sums, add_rows,
-            domains::Part,
+            domains::SumPart,
             members::{Members, Rank, Role},
             table::Changes,
             view::Answer,
@@ -58,7 +58,7 @@
 enum Message {
     Answer(Answer),
     Report(u64, Report, Option<(u64, u64)>),
-    Sum(Part),
+    Sum(SumPart),
 }
 
 /// Three hundred instances, and what is on its way between them.
@@ -148,7 +148,7 @@
             match role {
                 Role::Aggregator if turn.is_multiple_of(SUM_STEPS) => self.sum(place),
                 Role::Member if turn.is_multiple_of(REPORT_STEPS) => self.report(place),
-                Role::Aggregator | Role::Equal | Role::Member => {}
+                Role::Aggregator | Role::Mesh | Role::Member => {}
             }
         }
     }
@@ -167,7 +167,7 @@
         let node = &mut self.nodes[place];
         node.sums.views.reported(micros, node.own.clone());
         let links = node.members.links(&node.name, now);
-        for link in links.into_iter().filter(|link| link.near) {
+        for link in links.into_iter().filter(|link| link.same_domain) {
             let name = node.members.name(link.key).to_string();
             node.members.asked(link.key, now, true);
             let preferred = node.sums.views.preferred(now);
@@ -187,7 +187,7 @@
         node.sums.publish(now, &node.fellows, node.own.clone());
         let mut rows = node.fellows.sums().clone();
         add_rows(&mut rows, &node.own);
-        let part = Part {
+        let part = SumPart {
             covers: Some((0, u32::MAX)),
             incarnation: node.incarnation,
             members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
@@ -196,7 +196,7 @@
         };
         let mut names = node.sums.domains.senders();
         let links = node.members.links(&node.name, now);
-        for link in links.into_iter().filter(|link| !link.near) {
+        for link in links.into_iter().filter(|link| !link.same_domain) {
             node.members.asked(link.key, now, true);
             names.push(node.members.name(link.key).to_string());
         }
@@ -405,7 +405,7 @@
     };
     views.reported(1_000_000, Vec::new());
     let changes = Changes {
-        anew: true,
+        snapshot: true,
         rows: vec![row(900)],
         version: 40,
     };
@@ -413,7 +413,7 @@
     assert_eq!(views.at("e1", 5).tokens, 900);
     views.reported(1_200_000, Vec::new());
     let changes = Changes {
-        anew: false,
+        snapshot: false,
         rows: vec![],
         version: 2,
     };
@@ -449,7 +449,7 @@
     let mut views = Sums::default().views;
     views.reported(1_000_000, vec![(5, load(3000))]);
     let changes = Changes {
-        anew: true,
+        snapshot: true,
         rows: vec![(5, load(7000))],
         version: 1,
     };
@@ -472,7 +472,7 @@
         requests,
         ..Load::default()
     };
-    let part = |number, covers, rows| Part {
+    let part = |number, covers, rows| SumPart {
         covers,
         incarnation: 1,
         members: 60,
@@ -501,5 +501,5 @@
     members.set("e2", "a", 120);
     assert_eq!(members.role("e1"), Role::Member);
     members.set("e1", "a", 120);
-    assert_eq!(members.role("e1"), Role::Equal);
+    assert_eq!(members.role("e1"), Role::Mesh);
 }
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -22,7 +22,7 @@
         freshness,
         name,
         position,
-        role: Role::Equal,
+        role: Role::Mesh,
         topic: 0,
     }
 }
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -10,7 +10,7 @@
     },
     fellow::datagram::Datagrams,
     forward::{
-        aggregate::{domains::Part, members::Role, table::Changes, view},
+        aggregate::{domains::SumPart, members::Role, table::Changes, view},
         reader::{EchoTimestamp, TOPICS, Watermark},
     },
     tokio::sync::mpsc,
@@ -37,7 +37,7 @@
     note(shared, &report.name, report.life, report.number);
     let loads = report.loads.drain(..).map(load).collect();
     let role = role(shared);
-    if role == Role::Equal {
+    if role == Role::Mesh {
         let mut state = shared.state.borrow_mut();
         state.fellows.hear(&report.name, now, report.number, loads);
     } else if shared.is_near(&report.name) {
@@ -61,7 +61,7 @@
     note(shared, &answer.name, answer.life, answer.number);
     let has_rows = answer.changes.is_some();
     let changes = answer.changes.map(|changes| Changes {
-        anew: changes.anew,
+        snapshot: changes.anew,
         rows: changes.loads.into_iter().map(load).collect(),
         version: changes.version,
     });
@@ -95,7 +95,7 @@
             return;
         };
         if domain != shared.settings.instance.domain {
-            let part = Part {
+            let part = SumPart {
                 covers: sum.covers,
                 incarnation: sum.life,
                 members: sum.members,
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/tell.rs
@@ -55,7 +55,7 @@
         let role = role(shared);
         match role {
             Role::Aggregator => sum_due(shared, whole_at).await,
-            Role::Equal => changed(shared, LONGEST.saturating_sub(SHORTEST)).await,
+            Role::Mesh => changed(shared, LONGEST.saturating_sub(SHORTEST)).await,
             Role::Member => due(shared).await,
         }
         links::settle(shared, datagrams);
@@ -73,7 +73,7 @@
                 report(shared, datagrams, &links, &loads);
                 sum(shared, datagrams, &links, &loads, is_whole);
             }
-            Role::Equal => {
+            Role::Mesh => {
                 report(shared, datagrams, &links, &loads);
                 sleep(SHORTEST).await;
             }
@@ -153,7 +153,7 @@
     let now = clock::now();
     let role = role(shared);
     let number = now.micros();
-    let many = role != Role::Equal;
+    let many = role != Role::Mesh;
     let rows = loads.iter().copied().map(row).collect::<Vec<_>>();
     let mut report = Report {
         echo: (0, 0),
@@ -165,7 +165,7 @@
         words: words(shared),
     };
     let mut reported = false;
-    for link in links.iter().filter(|link| link.near || !many) {
+    for link in links.iter().filter(|link| link.same_domain || !many) {
         let name = shared.state.borrow().members.name(link.key).to_string();
         let Some(address) = shared.fellows.address(&name) else {
             continue;
@@ -191,7 +191,7 @@
 fn sum(shared: &Shared, datagrams: &Datagrams, links: &[Link], own: &load::Report, is_whole: bool) {
     let now = clock::now();
     let mut names = shared.state.borrow().sums.domains.senders();
-    for link in links.iter().filter(|link| !link.near) {
+    for link in links.iter().filter(|link| !link.same_domain) {
         let name = shared.state.borrow().members.name(link.key).to_string();
         if let Some(address) = shared.fellows.address(&name) {
             shared.asked(datagrams, link.key, address);
@@ -290,7 +290,7 @@
         let complete = changes.rows.len() < MOST_ROWS;
         version = changes.version;
         answer.changes = Some(RawChanges {
-            anew: changes.anew,
+            anew: changes.snapshot,
             loads: changes.rows.into_iter().map(row).collect(),
             version,
         });
