--- a/crates/forward/src/aggregate/domains.rs
+++ b/crates/forward/src/aggregate/domains.rs
@@ -69,7 +69,7 @@
 impl Domains {
     /// Takes a part of the sum of a domain in; `rank` is the sender's. One
     /// that was overtaken by a later one changes nothing.
-    pub fn hear(&mut self, now: Time, name: &str, sender: &str, rank: Rank, part: &SumPart) {
+    pub fn update(&mut self, now: Time, name: &str, sender: &str, rank: Rank, part: &SumPart) {
         let domain = match self
             .domains
             .binary_search_by(|other| other.name.as_str().cmp(name))
--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -159,7 +159,7 @@
 
     /// An instance is talked to and owes an answer; one to which no connection is open yet
     /// has some more time.
-    pub fn asked(&mut self, key: MemberKey, now: Time, connected: bool) {
+    pub fn expect_answer(&mut self, key: MemberKey, now: Time, connected: bool) {
         if let Some(member) = self.arena.get_mut(key) {
             let since = if connected {
                 now
@@ -171,7 +171,7 @@
     }
 
     /// An instance was heard of.
-    pub fn heard(&mut self, name: &str) {
+    pub fn mark_responsive(&mut self, name: &str) {
         let Some(member) = self.find(name).and_then(|key| self.arena.get_mut(key)) else {
             return;
         };
@@ -182,7 +182,7 @@
 
     /// Passes over instances that have been silent for too long; returns them, so that
     /// their connections are opened anew.
-    pub fn settle(&mut self, now: Time) -> Vec<MemberKey> {
+    pub fn skip_unresponsive(&mut self, now: Time) -> Vec<MemberKey> {
         let mut silent = Vec::new();
         for (key, member) in &mut self.arena {
             let since = member.unanswered_since;
--- a/crates/forward/src/aggregate/mod.rs
+++ b/crates/forward/src/aggregate/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     endpoint::Load,
-    load::{Fellows, Report},
+    load::{PeerLoads, Report},
     prelude::*,
 };
 
@@ -60,7 +60,7 @@
     /// another one answers, an instance chooses by what it knows itself.
     ///
     /// Returns whether that has changed.
-    pub fn settle(&mut self, now: Time, aggregates: bool) -> bool {
+    pub fn select_source(&mut self, now: Time, aggregates: bool) -> bool {
         self.domains.expire(now);
         let best = if aggregates {
             None
@@ -90,23 +90,23 @@
         self.views.age(now, self.aggregator()?)
     }
 
-    /// Load of all other instances at an endpoint; `fellows` are the reports that were
+    /// Load of all other instances at an endpoint; `peer_loads` are the reports that were
     /// heard directly.
     #[must_use]
-    pub fn others(&self, fellows: &Fellows, digest: u32) -> Load {
+    pub fn others(&self, peer_loads: &PeerLoads, digest: u32) -> Load {
         if let Source::View(aggregator) = &self.source {
             return self.views.at(aggregator, digest);
         }
-        let mut load = fellows.at(digest);
+        let mut load = peer_loads.at(digest);
         load.add(self.domains.at(digest));
         load
     }
 
     /// Takes the present sums into the table that members are told from; `own` is this
     /// instance's own load.
-    pub fn publish(&mut self, now: Time, fellows: &Fellows, own: Report) {
+    pub fn publish(&mut self, now: Time, peer_loads: &PeerLoads, own: Report) {
         self.own = own;
-        let mut sums = fellows.sums().clone();
+        let mut sums = peer_loads.sums().clone();
         self.domains.add_to(&mut sums);
         add_rows(&mut sums, &self.own);
         self.table.publish(now, &sums);
@@ -117,20 +117,20 @@
     pub fn report(
         &mut self,
         now: Time,
-        fellows: &mut Fellows,
+        peer_loads: &mut PeerLoads,
         member: &str,
         number: u64,
         rows: Report,
     ) {
-        let mut digests = fellows
+        let mut digests = peer_loads
             .report(member)
             .iter()
             .map(|(digest, _)| *digest)
             .collect::<Vec<_>>();
         digests.extend(rows.iter().map(|(digest, _)| *digest));
-        fellows.hear(member, now, number, rows);
+        peer_loads.update(member, now, number, rows);
         for digest in digests {
-            let mut load = fellows.at(digest);
+            let mut load = peer_loads.at(digest);
             load.add(self.domains.at(digest));
             load.add(at(&self.own, digest));
             self.table.set(now, digest, load);
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -81,7 +81,7 @@
 
 impl Views {
     /// A report is sent; its number is the time of the sending in microseconds.
-    pub fn reported(&mut self, number: u64, mut rows: Report) {
+    pub fn record_report(&mut self, number: u64, mut rows: Report) {
         rows.sort_unstable_by_key(|(digest, _)| *digest);
         if self.reports.len() >= REPORTS {
             self.reports.pop_front();
@@ -91,7 +91,7 @@
 
     /// Takes the answer of an aggregator in; `rank` is its rank. Returns
     /// whether it was of use.
-    pub fn hear(&mut self, aggregator: &str, rank: Rank, answer: Answer) -> bool {
+    pub fn update(&mut self, aggregator: &str, rank: Rank, answer: Answer) -> bool {
         let Some((number, own)) = self
             .reports
             .iter()
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -355,7 +355,7 @@
     ) -> Load {
         let mut load = loads.get(key).copied().unwrap_or_default();
         load.requests += endpoint.in_flight;
-        load.add(self.sums.others(&self.fellows, endpoint.digest));
+        load.add(self.sums.others(&self.peer_loads, endpoint.digest));
         load
     }
 
--- a/crates/forward/src/load.rs
+++ b/crates/forward/src/load.rs
@@ -36,17 +36,17 @@
 /// The sum over all fellows is kept up to date with each report, so that a choice costs
 /// one search for each endpoint and not one for each fellow at each endpoint.
 #[derive(Debug, Default)]
-pub struct Fellows {
+pub struct PeerLoads {
     /// Sorted by name.
     heard: Vec<Heard>,
     /// Sum of all reports, sorted by digest.
     sums: Report,
 }
 
-impl Fellows {
+impl PeerLoads {
     /// Takes the report of a fellow in; one that was overtaken by a later one changes
     /// nothing.
-    pub fn hear(&mut self, name: &str, at: Time, number: u64, mut report: Report) {
+    pub fn update(&mut self, name: &str, at: Time, number: u64, mut report: Report) {
         report.sort_by_key(|(digest, _)| *digest);
         let place = match self
             .heard
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -147,7 +147,7 @@
 
 impl Readers {
     /// Takes a fellow's words in.
-    pub fn hear(&mut self, name: &str, at: Time, aggregates: bool, words: [Watermark; TOPICS]) {
+    pub fn update(&mut self, name: &str, at: Time, aggregates: bool, words: [Watermark; TOPICS]) {
         let mut heard = Heard {
             aggregated: aggregates.then_some(at),
             at,
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -7,7 +7,7 @@
         aggregate::{Sums, members::Members},
         budget::Budget,
         freshness::Freshness,
-        load::Fellows,
+        load::PeerLoads,
         prelude::*,
         request::Ticket,
     },
@@ -41,7 +41,7 @@
     domains_out: Vec<String>,
     pub(crate) endpoints: SlotMap<EndpointKey, Endpoint>,
     /// Load of other instances, by their own reports.
-    pub fellows: Fellows,
+    pub peer_loads: PeerLoads,
     /// Instances that joint limits are divided by.
     pub(crate) instances: u32,
     /// Age of the endpoint list.
@@ -77,7 +77,7 @@
             config_freshness: Freshness::default(),
             domains_out: Vec::new(),
             endpoints: SlotMap::with_key(),
-            fellows: Fellows::default(),
+            peer_loads: PeerLoads::default(),
             instances: settings.most_instances.max(1),
             list_freshness: Freshness::default(),
             members: Members::default(),
@@ -208,7 +208,7 @@
     /// Settles doubts that have lasted long enough, and forgets endpoints that left and the
     /// load of silent fellows.
     pub fn tick(&mut self, now: Time) {
-        self.fellows.expire(now);
+        self.peer_loads.expire(now);
         for endpoint in self.endpoints.values_mut() {
             if endpoint.doubt_until.is_some_and(|until| now >= until) {
                 endpoint.doubt_until = None;
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -12,7 +12,7 @@
             table::Changes,
             view::Answer,
         },
-        load::{Fellows, Report},
+        load::{PeerLoads, Report},
     },
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
 };
@@ -42,7 +42,7 @@
 /// What one instance knows and does.
 struct Node {
     domain: usize,
-    fellows: Fellows,
+    peer_loads: PeerLoads,
     /// Neither hears nor says anything.
     frozen: bool,
     heard: u64,
@@ -83,7 +83,7 @@
         }
         let nodes = (0..count).map(|place| Node {
             domain: place % DOMAINS.len(),
-            fellows: Fellows::default(),
+            peer_loads: PeerLoads::default(),
             frozen: false,
             heard: 0,
             incarnation: 1,
@@ -156,20 +156,20 @@
     fn settle(&mut self, place: usize) -> Role {
         let now = at(self.now);
         let node = &mut self.nodes[place];
-        let _silent = node.members.settle(now);
+        let _silent = node.members.skip_unresponsive(now);
         let role = node.members.role(&node.name);
-        node.sums.settle(now, role != Role::Member);
+        node.sums.select_source(now, role != Role::Member);
         role
     }
 
     fn report(&mut self, place: usize) {
         let (now, micros) = (at(self.now), self.now * 1000);
         let node = &mut self.nodes[place];
-        node.sums.views.reported(micros, node.own.clone());
+        node.sums.views.record_report(micros, node.own.clone());
         let links = node.members.links(&node.name, now);
         for link in links.into_iter().filter(|link| link.same_domain) {
             let name = node.members.name(link.key).to_string();
-            node.members.asked(link.key, now, true);
+            node.members.expect_answer(link.key, now, true);
             let preferred = node.sums.views.preferred(now);
             let wanted = preferred.is_none_or(|preferred| preferred == name);
             let holds = wanted.then(|| node.sums.views.version(&name));
@@ -183,21 +183,21 @@
         self.report(place);
         let now = at(self.now);
         let node = &mut self.nodes[place];
-        node.fellows.expire(now);
-        node.sums.publish(now, &node.fellows, node.own.clone());
-        let mut rows = node.fellows.sums().clone();
+        node.peer_loads.expire(now);
+        node.sums.publish(now, &node.peer_loads, node.own.clone());
+        let mut rows = node.peer_loads.sums().clone();
         add_rows(&mut rows, &node.own);
         let part = SumPart {
             covers: Some((0, u32::MAX)),
             incarnation: node.incarnation,
-            members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
+            members: u32::try_from(node.peer_loads.count(now) + 1).expect("few"),
             number: self.now * 1000,
             rows,
         };
         let mut names = node.sums.domains.senders();
         let links = node.members.links(&node.name, now);
         for link in links.into_iter().filter(|link| !link.same_domain) {
-            node.members.asked(link.key, now, true);
+            node.members.expect_answer(link.key, now, true);
             names.push(node.members.name(link.key).to_string());
         }
         names.sort();
@@ -216,7 +216,7 @@
         match message {
             Message::Report(micros, rows, holds) => {
                 node.sums
-                    .report(now, &mut node.fellows, &sender, micros, rows);
+                    .report(now, &mut node.peer_loads, &sender, micros, rows);
                 let changes = holds.map(|(incarnation, version)| {
                     let since = if incarnation == node.incarnation { version } else { 0 };
                     node.sums.table.changes(since, 200)
@@ -225,21 +225,21 @@
                     changes,
                     echo: micros,
                     incarnation: node.incarnation,
-                    members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
+                    members: u32::try_from(node.peer_loads.count(now) + 1).expect("few"),
                 };
                 node.said += 1;
                 self.on_the_way.push((to, from, Message::Answer(answer)));
             }
             Message::Answer(answer) => {
-                node.members.heard(&sender);
+                node.members.mark_responsive(&sender);
                 let rank = node.members.rank(&sender).expect("a member");
-                node.sums.views.hear(&sender, rank, answer);
+                node.sums.views.update(&sender, rank, answer);
             }
             Message::Sum(part) => {
-                node.members.heard(&sender);
+                node.members.mark_responsive(&sender);
                 let rank = node.members.rank(&sender).expect("a member");
                 let domain = DOMAINS[domain];
-                node.sums.domains.hear(now, domain, &sender, rank, &part);
+                node.sums.domains.update(now, domain, &sender, rank, &part);
             }
         }
     }
@@ -255,7 +255,7 @@
     fn known(&self, place: usize) -> u32 {
         let node = &self.nodes[place];
         let endpoints = (0..ENDPOINTS).map(|endpoint| endpoint * 1000);
-        let loads = endpoints.map(|digest| node.sums.others(&node.fellows, digest));
+        let loads = endpoints.map(|digest| node.sums.others(&node.peer_loads, digest));
         loads.map(|load| load.requests).sum()
     }
 
@@ -403,21 +403,21 @@
         incarnation,
         members: 60,
     };
-    views.reported(1_000_000, Vec::new());
+    views.record_report(1_000_000, Vec::new());
     let changes = Changes {
         snapshot: true,
         rows: vec![row(900)],
         version: 40,
     };
-    assert!(views.hear("e1", FIRST, answer(1_000_000, 1, changes)));
+    assert!(views.update("e1", FIRST, answer(1_000_000, 1, changes)));
     assert_eq!(views.at("e1", 5).tokens, 900);
-    views.reported(1_200_000, Vec::new());
+    views.record_report(1_200_000, Vec::new());
     let changes = Changes {
         snapshot: false,
         rows: vec![],
         version: 2,
     };
-    assert!(views.hear("e1", FIRST, answer(1_200_000, 2, changes)));
+    assert!(views.update("e1", FIRST, answer(1_200_000, 2, changes)));
     assert_eq!(views.at("e1", 5).tokens, 0);
 }
 
@@ -426,14 +426,14 @@
 #[test]
 fn an_answer_is_as_old_as_the_report_that_it_answers() {
     let mut sums = Sums::default();
-    sums.views.reported(1_000_000, Vec::new());
+    sums.views.record_report(1_000_000, Vec::new());
     let answer = Answer {
         changes: Some(Changes::default()),
         echo: 1_000_000,
         incarnation: 1,
         members: 60,
     };
-    assert!(sums.views.hear("e1", FIRST, answer));
+    assert!(sums.views.update("e1", FIRST, answer));
     assert_eq!(sums.views.best(at(2000)), Some("e1"));
     assert_eq!(sums.views.best(at(9000)), None);
 }
@@ -447,7 +447,7 @@
         ..Load::default()
     };
     let mut views = Sums::default().views;
-    views.reported(1_000_000, vec![(5, load(3000))]);
+    views.record_report(1_000_000, vec![(5, load(3000))]);
     let changes = Changes {
         snapshot: true,
         rows: vec![(5, load(7000))],
@@ -459,7 +459,7 @@
         incarnation: 1,
         members: 60,
     };
-    assert!(views.hear("e1", FIRST, answer));
+    assert!(views.update("e1", FIRST, answer));
     assert_eq!(views.at("e1", 5).tokens, 4000);
 }
 
@@ -481,13 +481,13 @@
     };
     let mut sums = Sums::default();
     let whole = part(1, Some((0, u32::MAX)), vec![(5, load(2)), (7, load(3))]);
-    sums.domains.hear(at(10), "b", "e1", FIRST, &whole);
+    sums.domains.update(at(10), "b", "e1", FIRST, &whole);
     let grown = part(2, None, vec![(7, load(4))]);
-    sums.domains.hear(at(20), "b", "e1", FIRST, &grown);
+    sums.domains.update(at(20), "b", "e1", FIRST, &grown);
     assert_eq!(sums.domains.at(5).requests, 2);
     assert_eq!(sums.domains.at(7).requests, 4);
     let late = part(1, Some((0, u32::MAX)), vec![(5, load(2)), (7, load(3))]);
-    sums.domains.hear(at(30), "b", "e1", FIRST, &late);
+    sums.domains.update(at(30), "b", "e1", FIRST, &late);
     assert_eq!(sums.domains.at(7).requests, 4);
 }
 
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -26,8 +26,8 @@
         for (from, report) in reports.iter().enumerate().filter(|(from, _)| *from != to) {
             let rows = report.iter().map(|(id, load)| (digest(id), *load));
             state
-                .fellows
-                .hear(&format!("e{from}"), at(now), now + 1, rows.collect());
+                .peer_loads
+                .update(&format!("e{from}"), at(now), now + 1, rows.collect());
         }
     }
 }
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -7,7 +7,7 @@
     forward::{
         aggregate::members::Role,
         freshness::Freshness,
-        load::Fellows,
+        load::PeerLoads,
         reader::{Cause, MAX_WATERMARK_AGE, MAX_INSTANCE_LIST_AGE, EchoTimestamp, LocalTopic, Readers, Watermark},
     },
 };
@@ -39,7 +39,7 @@
 fn hears(name: &str, now: u64) -> Readers {
     let mut readers = Readers::default();
     for other in NAMES.into_iter().filter(|other| *other != name) {
-        readers.hear(other, at(now), true, word(300, 7));
+        readers.update(other, at(now), true, word(300, 7));
     }
     readers
 }
@@ -68,7 +68,7 @@
     for name in NAMES {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
-            readers.hear(other, at(6700), true, word(1750, 7));
+            readers.update(other, at(6700), true, word(1750, 7));
         }
         let cause = readers.must_read(own(name, 4950, 7), at(6700));
         assert!(cause.is_some(), "{name}");
@@ -83,7 +83,7 @@
     let causes = NAMES.map(|name| {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
-            readers.hear(other, at(9000), true, word(4000, 7));
+            readers.update(other, at(9000), true, word(4000, 7));
         }
         readers.must_read(own(name, 5000, 7), at(9000))
     });
@@ -112,7 +112,7 @@
     for name in NAMES {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
-            readers.hear(other, at(6700), true, word(1750, 7));
+            readers.update(other, at(6700), true, word(1750, 7));
         }
         let own = own(name, 4950, 7);
         let cause = readers.must_read(own, at(6700)).expect("a cause");
@@ -147,18 +147,18 @@
 /// its new clock was ahead of the old one, and prompts went to engines that it was filling.
 #[test]
 fn the_load_of_a_fellow_that_starts_anew_counts() {
-    let mut fellows = Fellows::default();
+    let mut peer_loads = PeerLoads::default();
     let load = |tokens| Load {
         tokens,
         ..Load::default()
     };
-    fellows.hear("e2", at(10), 60_000, vec![(5, load(900))]);
-    fellows.hear("e2", at(20), 40, vec![(5, load(700))]);
-    assert_eq!(fellows.at(5).tokens, 900);
-    fellows.forget("e2");
-    assert_eq!(fellows.at(5), Load::default());
-    fellows.hear("e2", at(30), 50, vec![(5, load(700))]);
-    assert_eq!(fellows.at(5).tokens, 700);
+    peer_loads.update("e2", at(10), 60_000, vec![(5, load(900))]);
+    peer_loads.update("e2", at(20), 40, vec![(5, load(700))]);
+    assert_eq!(peer_loads.at(5).tokens, 900);
+    peer_loads.forget("e2");
+    assert_eq!(peer_loads.at(5), Load::default());
+    peer_loads.update("e2", at(30), 50, vec![(5, load(700))]);
+    assert_eq!(peer_loads.at(5).tokens, 700);
 }
 
 /// The list of instances is read rarely, so that what is known of it is often twenty
@@ -171,7 +171,7 @@
         .filter(|name| {
             let mut readers = Readers::default();
             for other in NAMES.into_iter().filter(|other| other != name) {
-                readers.hear(other, at(40_000), true, word(20_000, 7));
+                readers.update(other, at(40_000), true, word(20_000, 7));
             }
             let own = LocalTopic {
                 max_age: MAX_INSTANCE_LIST_AGE,
@@ -193,7 +193,7 @@
         for name in side {
             let mut readers = hears(name, 1000);
             for other in side.into_iter().filter(|other| *other != name) {
-                readers.hear(other, at(3000), true, word(300, 7));
+                readers.update(other, at(3000), true, word(300, 7));
             }
             reading += usize::from(readers.must_read(own(name, 2900, 7), at(3000)).is_some());
         }
@@ -231,7 +231,7 @@
             let far = aggregates(place) && aggregates(other) && !cut;
             let heard = other != place && ((aggregates(other) && near) || far);
             if heard || (near && aggregates(place) && other != place) {
-                readers.hear(fellow, at(1000), aggregates(other), word(300, 7));
+                readers.update(fellow, at(1000), aggregates(other), word(300, 7));
             }
         }
         let role = if aggregates(place) {
@@ -271,8 +271,8 @@
     let reading = ["e1", "e2"].into_iter().filter(|name| {
         let other = if *name == "e1" { "e2" } else { "e1" };
         let mut readers = Readers::default();
-        readers.hear(other, at(4900), true, word(300, 7));
-        readers.hear(other, at(5000), false, word(300, 7));
+        readers.update(other, at(4900), true, word(300, 7));
+        readers.update(other, at(5000), false, word(300, 7));
         let own = LocalTopic {
             role: Role::Aggregator,
             ..own(name, 4900, 7)
@@ -288,7 +288,7 @@
 #[test]
 fn a_member_gives_records_the_time_to_come() {
     let mut readers = Readers::default();
-    readers.hear("e1", at(5000), true, word(300, 7));
+    readers.update("e1", at(5000), true, word(300, 7));
     let own = LocalTopic {
         role: Role::Member,
         ..own("e2", 4900, 6)
@@ -304,7 +304,7 @@
 #[test]
 fn entries_of_dead_instances_are_dropped() {
     let mut readers = Readers::default();
-    readers.hear("e2", at(10_000), true, word(300, 7));
+    readers.update("e2", at(10_000), true, word(300, 7));
     let minutes = |minutes: u64| at(minutes * 60_000);
     assert!(!readers.is_dead("e2", at(0), minutes(5)));
     assert!(readers.is_dead("e2", at(0), minutes(6)));
--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -120,7 +120,7 @@
             state.members.set(name, &entry.domain, entry.processor);
         } else {
             state.members.remove(name);
-            state.fellows.forget(name);
+            state.peer_loads.forget(name);
             state.sums.views.forget(name);
             shared.readers.borrow_mut().forget(name);
         }
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -39,7 +39,7 @@
     let role = role(shared);
     if role == Role::Mesh {
         let mut state = shared.state.borrow_mut();
-        state.fellows.hear(&report.name, now, report.number, loads);
+        state.peer_loads.update(&report.name, now, report.number, loads);
     } else if shared.is_near(&report.name) {
         // A report of another domain, whose sender takes instances for few yet, is counted
         // in the sum of its own domain.
@@ -73,9 +73,9 @@
     };
     {
         let mut state = shared.state.borrow_mut();
-        state.members.heard(&answer.name);
+        state.members.mark_responsive(&answer.name);
         if let Some(rank) = state.members.rank(&answer.name) {
-            state.sums.views.hear(&answer.name, rank, taken);
+            state.sums.views.update(&answer.name, rank, taken);
         }
     }
     shared.settle(role(shared));
@@ -89,7 +89,7 @@
     note(shared, &sum.name, sum.life, sum.number);
     {
         let mut state = shared.state.borrow_mut();
-        state.members.heard(&sum.name);
+        state.members.mark_responsive(&sum.name);
         let domain = state.members.domain(&sum.name).map(ToString::to_string);
         let (Some(domain), Some(rank)) = (domain, state.members.rank(&sum.name)) else {
             return;
@@ -106,7 +106,7 @@
             state
                 .sums
                 .domains
-                .hear(now, &domain, &sum.name, rank, &part);
+                .update(now, &domain, &sum.name, rank, &part);
         }
     }
     hear_words(shared, &sum.name, true, sum.echo, sum.words);
@@ -116,7 +116,7 @@
 fn note(shared: &Shared, name: &str, life: u64, number: u64) {
     if shared.fellows.note(name, life, number) {
         log::info!(fellow = name; "fellow instance has started anew");
-        shared.state.borrow_mut().fellows.forget(name);
+        shared.state.borrow_mut().peer_loads.forget(name);
     }
 }
 
@@ -135,7 +135,7 @@
     shared
         .readers
         .borrow_mut()
-        .hear(name, now, aggregates, words);
+        .update(name, now, aggregates, words);
     let (life, micros) = echo;
     let echo = EchoTimestamp {
         at: Time::from_micros(micros),
--- a/crates/proxy/src/gossip/links.rs
+++ b/crates/proxy/src/gossip/links.rs
@@ -60,7 +60,7 @@
 pub fn settle(shared: &Shared, datagrams: &Datagrams) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
-    let silent = state.members.settle(now);
+    let silent = state.members.skip_unresponsive(now);
     for key in silent {
         let name = state.members.name(key);
         log::info!(fellow = name; "fellow instance passed over, it does not answer");
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/tell.rs
@@ -176,7 +176,7 @@
         }
         if many && !reported {
             let mut state = shared.state.borrow_mut();
-            state.sums.views.reported(number, loads.clone());
+            state.sums.views.record_report(number, loads.clone());
             reported = true;
         }
         if many {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -307,7 +307,7 @@
     pub fn asked(&self, datagrams: &Datagrams, key: MemberKey, address: SocketAddr) {
         let connected = datagrams.is_open(address);
         let mut state = self.state.borrow_mut();
-        state.members.asked(key, clock::now(), connected);
+        state.members.expect_answer(key, clock::now(), connected);
     }
 
     /// Life and version of an aggregator's sums that are held, if its rows are wanted: those
@@ -327,7 +327,7 @@
         if self.draining.get() {
             return 0;
         }
-        let members = self.state.borrow().fellows.count(now) + 1;
+        let members = self.state.borrow().peer_loads.count(now) + 1;
         u32::try_from(members).unwrap_or(u32::MAX)
     }
 
@@ -336,7 +336,7 @@
     pub fn domain_sum(&self, own: &Report, now: Time) -> (Report, u32) {
         let members = self.speaks_for(now);
         let state = self.state.borrow();
-        let mut loads = state.fellows.sums().clone();
+        let mut loads = state.peer_loads.sums().clone();
         add_rows(&mut loads, own);
         (loads, members)
     }
@@ -376,7 +376,7 @@
             log::info!(role:?, before:?; "part in the exchange of load changed");
         }
         let mut state = self.state.borrow_mut();
-        if state.sums.settle(now, role != Role::Member) {
+        if state.sums.select_source(now, role != Role::Member) {
             let aggregator = state.sums.aggregator().unwrap_or_default();
             let age = state.sums.age(now).unwrap_or_default();
             log::info!(aggregator, role:?, age_ms = age.as_millis(); "load of others taken from");
