--- a/crates/forward/src/freshness.rs
+++ b/crates/forward/src/freshness.rs
@@ -10,19 +10,19 @@
 /// Age of one kind of knowledge.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Freshness {
-    proven: Option<Time>,
+    confirmed: Option<Time>,
 }
 
 impl Freshness {
     /// An answer showed that nothing was missing when its question was sent at `asked`.
-    pub fn prove(&mut self, asked: Time) {
-        self.proven = self.proven.max(Some(asked));
+    pub fn confirm(&mut self, asked: Time) {
+        self.confirmed = self.confirmed.max(Some(asked));
     }
 
     /// Time since knowledge was last known to be complete.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
-        self.proven.map(|proven| now.since(proven))
+        self.confirmed.map(|confirmed| now.since(confirmed))
     }
 
     /// Whether the age is known and at most `bound`.
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -152,13 +152,13 @@
     }
 
     /// The list was complete when its question was sent at `asked`.
-    pub fn prove_list(&mut self, now: Time, asked: Time) {
+    pub fn confirm_list(&mut self, now: Time, asked: Time) {
         // The first proof of all is a start, not a return: what vanishes then has left.
         let age = self.list_freshness.age(now);
         if age.is_some_and(|age| age > STORE_AWAY) {
             self.store_back = Some(now);
         }
-        self.list_freshness.prove(asked);
+        self.list_freshness.confirm(asked);
     }
 
     /// Takes a change of the list in.
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -138,8 +138,8 @@
 pub fn instance_in(domain: &str, seed: u64, endpoints: &[Listing]) -> State {
     let mut state = State::new(settings(domain), SmallRng::seed_from_u64(seed));
     state.configure(config(1));
-    state.config_freshness.prove(at(0));
-    state.prove_list(at(0), at(0));
+    state.config_freshness.confirm(at(0));
+    state.confirm_list(at(0), at(0));
     for listing in endpoints {
         state.change(at(0), Change::Set(listing.clone()));
     }
--- a/crates/forward/tests/knowledge.rs
+++ b/crates/forward/tests/knowledge.rs
@@ -15,7 +15,7 @@
         assert_eq!(admitted.map(|_| ()), expected, "at {now} ms");
     }
     assert!(!state.ready(at(4701)));
-    state.config_freshness.prove(at(4701));
+    state.config_freshness.confirm(at(4701));
     let again = state.admit(at(4800), &inbound("/desk/x", at(4800)));
     assert_eq!(again.map(|ticket| ticket.version), Ok(1));
 }
@@ -26,10 +26,10 @@
 fn knowledge_is_as_old_as_its_question() {
     let mut state = instance(&[]);
     let (asked, read) = (at(1000), at(9000));
-    state.config_freshness.prove(asked);
+    state.config_freshness.confirm(asked);
     let admitted = state.admit(read, &inbound("/desk/x", read));
     assert_eq!(admitted.map(|_| ()), Err(Refusal::Stale));
-    state.config_freshness.prove(at(500));
+    state.config_freshness.confirm(at(500));
     assert_eq!(state.config_freshness.age(at(1500)), Some(millis(500)));
 }
 
@@ -98,7 +98,7 @@
     short.most_output = 60;
     let admitted = state.admit(at(100), &short);
     assert_eq!(admitted.map(|ticket| ticket.version), Ok(1));
-    state.config_freshness.prove(at(7000));
+    state.config_freshness.confirm(at(7000));
     let desk = state.admit(at(7000), &inbound("/desk/x", at(7000)));
     assert_eq!(desk.map(|ticket| ticket.version), Ok(1));
     let late = state.admit(at(7700), &inbound("/desk/x", at(7700)));
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -28,7 +28,7 @@
             Change::Set(leaving)
         };
         // The list has been followed without a break, so a vanished entry is believed.
-        state.prove_list(at(2200), at(2200));
+        state.confirm_list(at(2200), at(2200));
         state.change(at(2300), change);
         let (next, _) = sent(state.pick(at(2301), "model", LONG, &[]));
         assert_ne!(id(&state, next), "m1");
@@ -55,8 +55,8 @@
 fn entries_that_lapsed_during_an_outage_are_doubted_first() {
     let mut state = instance(&pair());
     // The store is away from 1 s on, and back with its first answer at 8 s.
-    state.prove_list(at(1000), at(900));
-    state.prove_list(at(8000), at(7990));
+    state.confirm_list(at(1000), at(900));
+    state.confirm_list(at(8000), at(7990));
     for name in ["m1", "m2"] {
         state.change(at(8001), Change::Gone(name.to_string()));
     }
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -262,7 +262,7 @@
     }
     // 34,000 tokens hold nine reports of 3,000 that grow by 900 and end one after the other.
     assert_eq!(filled, 9);
-    state.config_freshness.prove(at(12_000));
+    state.config_freshness.confirm(at(12_000));
     let ticket = state.admit(at(12_000), &inbound("/draft/x", at(12_000)));
     let mut ticket = ticket.expect("a ticket");
     let long = state.enqueue(&ticket);
--- a/crates/forward/tests/probes.rs
+++ b/crates/forward/tests/probes.rs
@@ -13,7 +13,7 @@
     let mut state = instance(&engines);
     let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
     let run = begin(&mut state, first, None);
-    state.prove_list(at(1000), at(990));
+    state.confirm_list(at(1000), at(990));
     assert!(state.inquiries(at(2000)).is_empty());
     let asked_at = (2000..2600).find(|now| !state.inquiries(at(*now)).is_empty());
     let asked_at = asked_at.expect("an inquiry well before an engine's notice is over");
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -16,7 +16,7 @@
 
 fn own(name: &str, proven: u64, position: u64) -> LocalTopic<'_> {
     let mut freshness = Freshness::default();
-    freshness.prove(at(proven));
+    freshness.confirm(at(proven));
     LocalTopic {
         max_age: MAX_WATERMARK_AGE,
         freshness,
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -347,9 +347,9 @@
         instance.proven[topic] = instance.proven[topic].max(Some(asked));
         let asked = at(asked.saturating_sub(instance.booted));
         if topic == OPERATORS {
-            instance.state.config_freshness.prove(asked);
+            instance.state.config_freshness.confirm(asked);
         } else {
-            instance.state.prove_list(now, asked);
+            instance.state.confirm_list(now, asked);
         }
     }
 
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -275,12 +275,12 @@
 pub fn prove(shared: &Shared, topic: Topic, when: Time) {
     let progress = shared.topic(topic);
     let mut freshness = progress.freshness.get();
-    freshness.prove(when);
+    freshness.confirm(when);
     progress.freshness.set(freshness);
     let mut state = shared.state.borrow_mut();
     match topic {
-        Topic::Endpoints => state.prove_list(clock::now(), when),
-        Topic::Operators => state.config_freshness.prove(when),
+        Topic::Endpoints => state.confirm_list(clock::now(), when),
+        Topic::Operators => state.config_freshness.confirm(when),
         Topic::Instances => {}
     }
 }
