--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -291,7 +291,7 @@
         endpoint.listing.service == service.name
             && endpoint.usable(now)
             && !self.is_out(&endpoint.listing.domain)
-            && endpoint.pace.allows(now, self.pace_part(service))
+            && endpoint.rate_limiter.allows(now, self.pace_part(service))
     }
 
     /// Sends a second to one endpoint of a service that this instance may make.
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! What is known of one endpoint.
 
-use crate::{load::digest, rate_limit::Pace, prelude::*};
+use crate::{load::digest, rate_limit::RateLimiter, prelude::*};
 
 /// First pause after an endpoint could not be reached.
 ///
@@ -23,7 +23,7 @@
     /// IP address and port.
     pub address: SocketAddr,
     /// When it started, in its own wall time; tells two lives under one id apart.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// How much longer it is cold.
     pub cold: Duration,
     /// Failure domain.
@@ -87,7 +87,7 @@
     /// Its entry, as last read.
     pub listing: Listing,
     /// Sends of the last second.
-    pub pace: Pace,
+    pub rate_limiter: RateLimiter,
     /// Since when it takes no new work.
     pub leaving_since: Option<Time>,
 }
@@ -106,13 +106,13 @@
             in_flight: 0,
             leaving_since: listing.leaving.then_some(now),
             listing,
-            pace: Pace::default(),
+            rate_limiter: RateLimiter::default(),
         }
     }
 
     /// Takes a newer entry in; a new life under the same id starts with a clean record.
     pub fn update(&mut self, listing: Listing, now: Time) {
-        if listing.born != self.listing.born || listing.address != self.listing.address {
+        if listing.started_at != self.listing.started_at || listing.address != self.listing.address {
             self.avoid_until = Time::default();
             self.failures = 0;
             self.failing = 0.0;
@@ -133,23 +133,23 @@
     }
 
     /// It said that it leaves.
-    pub fn leaves(&mut self, now: Time) {
+    pub fn mark_leaving(&mut self, now: Time) {
         self.leaving_since.get_or_insert(now);
     }
 
     /// It answered, well or with a failure of its own.
-    pub fn answered(&mut self, failed: bool) {
+    pub fn record_answer(&mut self, failed: bool) {
         self.failures = 0;
         self.failing += FAILURE_STEP * (f64::from(u8::from(failed)) - self.failing);
     }
 
     /// It said that it is full.
-    pub fn full(&mut self, now: Time) {
+    pub fn mark_full(&mut self, now: Time) {
         self.avoid_until = self.avoid_until.max(now.after(FULL_PAUSE));
     }
 
     /// It could not be reached, fell silent, or is another one than expected.
-    pub fn unreachable(&mut self, now: Time) {
+    pub fn mark_unreachable(&mut self, now: Time) {
         let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
         self.avoid_until = self.avoid_until.max(now.after(pause.min(LONGEST_PAUSE)));
--- a/crates/forward/src/probe.rs
+++ b/crates/forward/src/probe.rs
@@ -20,7 +20,7 @@
 
 impl State {
     /// Engines to ask now; they are taken as asked.
-    pub fn inquiries(&mut self, now: Time) -> Vec<EndpointKey> {
+    pub fn due_probes(&mut self, now: Time) -> Vec<EndpointKey> {
         if self.list_freshness.within(now, LIST_SILENT) {
             return Vec::new();
         }
@@ -38,7 +38,7 @@
     }
 
     /// An engine did not answer the question.
-    pub fn unanswered(&mut self, now: Time, key: EndpointKey) {
+    pub fn record_unanswered_probe(&mut self, now: Time, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.ask_from = now.after(UNANSWERED_PAUSE);
         }
--- a/crates/forward/src/rate_limit.rs
+++ b/crates/forward/src/rate_limit.rs
@@ -15,11 +15,11 @@
 
 /// Sends of the last second to one endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct RateLimiter {
     sent: VecDeque<Time>,
 }
 
-impl Pace {
+impl RateLimiter {
     /// Whether one more send stays within `most` a second.
     #[must_use]
     pub fn allows(&self, now: Time, most: usize) -> bool {
@@ -29,7 +29,7 @@
     }
 
     /// A request was sent.
-    pub fn sent(&mut self, now: Time) {
+    pub fn record_send(&mut self, now: Time) {
         let since = now.before(WINDOW + SPREAD);
         while self.sent.front().is_some_and(|sent| *sent <= since) {
             self.sent.pop_front();
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -120,7 +120,7 @@
 pub fn listing(id: &str, service: &str, domain: &str) -> Listing {
     Listing {
         address: "127.0.0.1:9".parse().expect("an address"),
-        born: Some(1),
+        started_at: Some(1),
         cold: Duration::ZERO,
         domain: domain.to_string(),
         id: id.to_string(),
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -115,13 +115,13 @@
 fn an_unreachable_endpoint_is_avoided_until_it_is_born_again() {
     let mut state = instance(&pair());
     let (key, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    state.endpoint_mut(key).expect("known").unreachable(at(100));
+    state.endpoint_mut(key).expect("known").mark_unreachable(at(100));
     assert!(!state.endpoint(key).expect("known").usable(at(350)));
     assert!(state.endpoint(key).expect("known").usable(at(400)));
-    state.endpoint_mut(key).expect("known").unreachable(at(400));
+    state.endpoint_mut(key).expect("known").mark_unreachable(at(400));
     assert!(!state.endpoint(key).expect("known").usable(at(900)));
     let mut reborn = listing("m1", "model", "a");
-    reborn.born = Some(2);
+    reborn.started_at = Some(2);
     state.change(at(900), Change::Set(reborn));
     assert!(state.endpoint(key).expect("known").usable(at(900)));
 }
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use {
     common::*,
-    forward::{budget::Budget, rate_limit::Pace},
+    forward::{budget::Budget, rate_limit::RateLimiter},
     proptest::prelude::*,
 };
 
@@ -57,12 +57,12 @@
         let mut times = times;
         times.sort_unstable();
         let most = 2; // 28 a second over ten instances, rounded down
-        let mut paces = vec![Pace::default(); 10];
+        let mut paces = vec![RateLimiter::default(); 10];
         let mut sent = Vec::new();
         for (place, time) in times.iter().enumerate() {
-            let pace = &mut paces[place % 10];
-            if pace.allows(at(*time), most) {
-                pace.sent(at(*time));
+            let rate_limiter = &mut paces[place % 10];
+            if rate_limiter.allows(at(*time), most) {
+                rate_limiter.record_send(at(*time));
                 sent.push(*time);
             }
         }
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -243,7 +243,7 @@
         .map(|(key, _)| key)
         .collect::<Vec<_>>();
     for key in crashed {
-        state.endpoint_mut(key).expect("known").unreachable(at(20));
+        state.endpoint_mut(key).expect("known").mark_unreachable(at(20));
     }
     let (next, _) = sent(state.pick(at(21), "model", LONG, &[]));
     assert_ne!(domain(&state, next), "a");
--- a/crates/forward/tests/probes.rs
+++ b/crates/forward/tests/probes.rs
@@ -14,16 +14,16 @@
     let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
     let run = begin(&mut state, first, None);
     state.confirm_list(at(1000), at(990));
-    assert!(state.inquiries(at(2000)).is_empty());
-    let asked_at = (2000..2600).find(|now| !state.inquiries(at(*now)).is_empty());
+    assert!(state.due_probes(at(2000)).is_empty());
+    let asked_at = (2000..2600).find(|now| !state.due_probes(at(*now)).is_empty());
     let asked_at = asked_at.expect("an inquiry well before an engine's notice is over");
-    assert!(state.inquiries(at(asked_at + 100)).is_empty());
-    assert_eq!(state.inquiries(at(asked_at + 600)), [first]);
+    assert!(state.due_probes(at(asked_at + 100)).is_empty());
+    assert_eq!(state.due_probes(at(asked_at + 600)), [first]);
     assert!(!state.must_move(run));
     let endpoint = state.endpoint_mut(first).expect("a listed engine");
-    endpoint.leaves(at(asked_at + 610));
+    endpoint.mark_leaving(at(asked_at + 610));
     assert!(state.must_move(run));
-    assert!(state.inquiries(at(asked_at + 2000)).is_empty());
+    assert!(state.due_probes(at(asked_at + 2000)).is_empty());
 }
 
 /// A failure domain is cut off, and the store with it. Engines behind the cut do not
@@ -35,9 +35,9 @@
     begin(&mut state, first, None);
     let mut asked = 0;
     for now in (3000..9000).step_by(100) {
-        for key in state.inquiries(at(now)) {
+        for key in state.due_probes(at(now)) {
             asked += 1;
-            state.unanswered(at(now + 50), key);
+            state.record_unanswered_probe(at(now + 50), key);
         }
     }
     assert!(asked <= 3, "{asked} questions in six seconds");
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -130,7 +130,7 @@
     /// Requests that were sent: to which engine, when.
     sends: Vec<(usize, u64)>,
     version: u64,
-    born: u64,
+    started_at: u64,
 }
 
 const OPERATORS: usize = 0;
@@ -174,7 +174,7 @@
             .map(|place| Instance::new(place, seed.wrapping_add(place as u64), 0))
             .collect();
         let mut world = Self {
-            born: 1,
+            started_at: 1,
             domains_out: [None; 3],
             instances,
             keys: [(true, 0); KEYS],
@@ -237,7 +237,7 @@
                 self.log[ENDPOINTS].push(Fact::Endpoint(gone));
             }
             Op::Start(engine) => {
-                self.born += 1;
+                self.started_at += 1;
                 self.list(engine, false);
             }
             Op::Request(place, key) => self.request(place, key),
@@ -267,7 +267,7 @@
     fn list(&mut self, engine: usize, leaving: bool) {
         let mut listing = listing(&engine_name(engine), "model", &domain(engine));
         listing.leaving = leaving;
-        listing.born = Some(self.born);
+        listing.started_at = Some(self.started_at);
         self.log[ENDPOINTS].push(Fact::Endpoint(Change::Set(listing)));
     }
 
@@ -417,7 +417,7 @@
         };
         let state = &mut instance.state;
         let name = id(state, endpoint);
-        state.endpoint_mut(endpoint).expect("picked").pace.sent(now);
+        state.endpoint_mut(endpoint).expect("picked").rate_limiter.record_send(now);
         let copy = copy.map(|copy| id(&instance.state, copy));
         let engine = engine_of(&name);
         self.check_place(place, engine);
--- a/crates/proxy/src/inquire.rs
+++ b/crates/proxy/src/inquire.rs
@@ -19,7 +19,7 @@
 pub async fn run(shared: Rc<Shared>) {
     loop {
         sleep(LOOK).await;
-        let due = shared.state.borrow_mut().inquiries(clock::now());
+        let due = shared.state.borrow_mut().due_probes(clock::now());
         for key in due {
             spawn_local(ask(Rc::clone(&shared), key));
         }
@@ -41,12 +41,12 @@
         Ok(true) => {
             log::info!(endpoint, list_age_ms; "engine says that it leaves");
             if let Some(endpoint) = shared.state.borrow_mut().endpoint_mut(key) {
-                endpoint.leaves(clock::now());
+                endpoint.mark_leaving(clock::now());
             }
         }
         Err(why) => {
             log::info!(endpoint, list_age_ms, why; "engine did not say whether it leaves");
-            shared.state.borrow_mut().unanswered(clock::now(), key);
+            shared.state.borrow_mut().record_unanswered_probe(clock::now(), key);
         }
     }
 }
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -130,7 +130,7 @@
     /// Notes that an endpoint could not be reached.
     pub fn unreachable(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
-            endpoint.unreachable(clock::now());
+            endpoint.mark_unreachable(clock::now());
         }
     }
 }
@@ -231,7 +231,7 @@
     /// An endpoint answered, well or with a failure of its own.
     pub fn answered(&self, key: EndpointKey, failed: bool) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
-            endpoint.answered(failed);
+            endpoint.record_answer(failed);
         }
     }
 
@@ -271,9 +271,9 @@
         let now = clock::now();
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             if status == StatusCode::MISDIRECTED_REQUEST {
-                endpoint.unreachable(now);
+                endpoint.mark_unreachable(now);
             } else {
-                endpoint.full(now);
+                endpoint.mark_full(now);
             }
         }
     }
@@ -281,7 +281,7 @@
     /// A request is on its way to an endpoint.
     pub fn sent(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
-            endpoint.pace.sent(clock::now());
+            endpoint.rate_limiter.record_send(clock::now());
         }
     }
 }
