--- a/crates/forward/src/budget.rs
+++ b/crates/forward/src/budget.rs
@@ -22,7 +22,7 @@
 
 /// The part of the joint budget that this instance may use, for each service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Of all instances together.
     burst: f64,
     /// Instances that the burst is divided by.
@@ -32,23 +32,23 @@
     window: Duration,
 }
 
-impl Budget {
+impl RetryBudget {
     /// The instance's part by its settings.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let mut budget = Self {
             burst: 0.0,
-            instances: settings.most_instances.max(1),
+            instances: settings.max_instances.max(1),
             ledgers: Vec::new(),
             ratio: 0.0,
             window: Duration::ZERO,
         };
-        budget.adjust(settings);
+        budget.update_settings(settings);
         budget
     }
 
     /// Takes changed settings in; what was sent counts on.
-    pub const fn adjust(&mut self, settings: &Settings) {
+    pub const fn update_settings(&mut self, settings: &Settings) {
         self.burst = settings.retry_burst;
         self.ratio = settings.retry_ratio / 2.0;
         self.window = settings.budget_window;
@@ -60,12 +60,12 @@
     }
 
     /// A request for the service arrived.
-    pub fn first(&mut self, service: &str, now: Time) {
+    pub fn record_request(&mut self, service: &str, now: Time) {
         self.ledger(service, now).first.push_back(now);
     }
 
     /// Whether a second send is allowed.
-    pub fn allows(&mut self, service: &str, now: Time) -> bool {
+    pub fn allows_retry(&mut self, service: &str, now: Time) -> bool {
         let (burst, ratio) = (self.burst / f64::from(self.instances), self.ratio);
         let ledger = self.ledger(service, now);
         let (first, second) = (ledger.first.len(), ledger.second.len());
@@ -78,12 +78,12 @@
     }
 
     /// A second send was made.
-    pub fn second(&mut self, service: &str, now: Time) {
+    pub fn record_retry(&mut self, service: &str, now: Time) {
         self.ledger(service, now).second.push_back(now);
     }
 
     /// The last second send did not reach the endpoint after all.
-    pub fn take_back(&mut self, service: &str, now: Time) {
+    pub fn refund_retry(&mut self, service: &str, now: Time) {
         self.ledger(service, now).second.pop_back();
     }
 
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -10,7 +10,7 @@
     /// Failure domain of this instance.
     pub domain: String,
     /// Most instances that may exist at once; static parts of joint limits divide by it.
-    pub most_instances: u32,
+    pub max_instances: u32,
     /// Second sends to a service within the window beyond the ratio, over all instances.
     pub retry_burst: f64,
     /// Second sends to a service for each first one, over all instances.
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         aggregate::{Sums, members::Members},
-        budget::Budget,
+        budget::RetryBudget,
         freshness::Freshness,
         load::PeerLoads,
         prelude::*,
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct State {
     /// Budget for second sends.
-    pub budget: Budget,
+    pub budget: RetryBudget,
     pub(crate) config: Option<Config>,
     /// Age of the configuration.
     pub config_freshness: Freshness,
@@ -72,13 +72,13 @@
     #[must_use]
     pub fn new(settings: Settings, random: SmallRng) -> Self {
         Self {
-            budget: Budget::new(&settings),
+            budget: RetryBudget::new(&settings),
             config: None,
             config_freshness: Freshness::default(),
             domains_out: Vec::new(),
             endpoints: SlotMap::with_key(),
             peer_loads: PeerLoads::default(),
-            instances: settings.most_instances.max(1),
+            instances: settings.max_instances.max(1),
             list_freshness: Freshness::default(),
             members: Members::default(),
             next_waiter: 0,
@@ -93,9 +93,9 @@
     }
 
     /// Takes changed settings in.
-    pub fn adjust(&mut self, settings: Settings) {
-        self.budget.adjust(&settings);
-        self.instances = self.instances.max(settings.most_instances);
+    pub fn update_settings(&mut self, settings: Settings) {
+        self.budget.update_settings(&settings);
+        self.instances = self.instances.max(settings.max_instances);
         self.settings = settings;
     }
 
@@ -107,7 +107,7 @@
     pub fn count_instances(&mut self, published: usize) {
         let published = u32::try_from(published).unwrap_or(u32::MAX);
         let instances = published.saturating_add(published.div_ceil(4));
-        self.instances = instances.max(self.settings.most_instances.max(1));
+        self.instances = instances.max(self.settings.max_instances.max(1));
         self.budget.divide_by(self.instances);
     }
 
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use {
     common::*,
-    forward::{budget::Budget, rate_limit::RateLimiter},
+    forward::{budget::RetryBudget, rate_limit::RateLimiter},
     proptest::prelude::*,
 };
 
@@ -21,14 +21,14 @@
     ) {
         let mut arrivals = arrivals;
         arrivals.sort_by_key(|(_, time)| *time);
-        let mut budgets = (0..10).map(|_| Budget::new(&settings("a"))).collect::<Vec<_>>();
+        let mut budgets = (0..10).map(|_| RetryBudget::new(&settings("a"))).collect::<Vec<_>>();
         let mut seconds = Vec::new();
         for (instance, time) in &arrivals {
             let budget = &mut budgets[*instance];
-            budget.first("desk", at(*time));
+            budget.record_request("desk", at(*time));
             for _ in 0..3 {
-                if budget.allows("desk", at(*time)) {
-                    budget.second("desk", at(*time));
+                if budget.allows_retry("desk", at(*time)) {
+                    budget.record_retry("desk", at(*time));
                     seconds.push(*time);
                 }
             }
@@ -77,18 +77,18 @@
 /// and everything fails.
 #[test]
 fn one_instance_uses_only_its_part() {
-    let mut budget = Budget::new(&settings("a"));
+    let mut budget = RetryBudget::new(&settings("a"));
     for _ in 0..10 {
-        budget.first("desk", at(0));
+        budget.record_request("desk", at(0));
     }
     let mut seconds = 0;
-    while budget.allows("desk", at(1)) {
-        budget.second("desk", at(1));
+    while budget.allows_retry("desk", at(1)) {
+        budget.record_retry("desk", at(1));
         seconds += 1;
     }
     assert_eq!(seconds, 1 + 5);
-    assert!(budget.allows("model", at(1)));
-    assert!(budget.allows("desk", at(10_100)));
+    assert!(budget.allows_retry("model", at(1)));
+    assert!(budget.allows_retry("desk", at(10_100)));
 }
 
 /// A deployment grows from ten to eighty instances. Parts cut for ten would let all of them
@@ -98,8 +98,8 @@
     let mut state = instance(&[]);
     let sends = |state: &mut forward::State, now: u64| {
         let mut sends = 0;
-        while state.budget.allows("desk", at(now)) {
-            state.budget.second("desk", at(now));
+        while state.budget.allows_retry("desk", at(now)) {
+            state.budget.record_retry("desk", at(now));
             sends += 1;
         }
         sends
@@ -119,14 +119,14 @@
 fn changed_settings_are_in_force_at_once() {
     let mut state = instance(&[]);
     for now in 0..3 {
-        assert!(state.budget.allows("desk", at(now)));
-        state.budget.second("desk", at(now));
+        assert!(state.budget.allows_retry("desk", at(now)));
+        state.budget.record_retry("desk", at(now));
     }
     let mut lower = settings("a");
     lower.retry_burst = 30.0;
     lower.revocation = millis(2000);
-    state.adjust(lower);
-    assert!(!state.budget.allows("desk", at(10)));
+    state.update_settings(lower);
+    assert!(!state.budget.allows_retry("desk", at(10)));
     let refused = state.admit(at(1800), &inbound("/desk/x", at(1800)));
     assert_eq!(refused.map(|_| ()), Err(Refusal::Stale));
 }
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/progress.rs
@@ -45,7 +45,7 @@
             return false;
         }
         let now = clock::now();
-        let allowed = |state: &mut forward::State| state.budget.allows(&ticket.service, now);
+        let allowed = |state: &mut forward::State| state.budget.allows_retry(&ticket.service, now);
         self.sends == 0 || (self.sends < MOST_SENDS && allowed(&mut shared.state.borrow_mut()))
     }
 
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -239,7 +239,7 @@
     pub fn count_send(&self, service: &str, again: bool) {
         let now = clock::now();
         if again {
-            self.state.borrow_mut().budget.second(service, now);
+            self.state.borrow_mut().budget.record_retry(service, now);
         }
         self.meters.sent(again);
     }
@@ -262,7 +262,7 @@
     pub fn take_back_send(&self, service: &str, again: bool) {
         if again {
             let now = clock::now();
-            self.state.borrow_mut().budget.take_back(service, now);
+            self.state.borrow_mut().budget.refund_retry(service, now);
         }
     }
 
