--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -121,10 +121,10 @@
     }
     let reading = Duration::from_secs_f64(f64::from(inbound.prompt) / READ_RATE / 1000.0);
     // The caller's own estimate is right at the median only; its bound is sure.
-    let output = if inbound.most_output == 0 {
+    let output = if inbound.max_output_tokens == 0 {
         u32::MAX
     } else {
-        inbound.most_output
+        inbound.max_output_tokens
     };
     reading + TOKEN_TIME.saturating_mul(output) + OVERHEAD
 }
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -129,7 +129,7 @@
 fn differs(one: Load, other: Load) -> bool {
     one.requests != other.requests
         || one.tokens.abs_diff(other.tokens) >= TOKENS
-        || one.reading.abs_diff(other.reading) >= READING
+        || one.prefill_tokens.abs_diff(other.prefill_tokens) >= READING
         || one.copies.abs_diff(other.copies) >= TOKENS
         || (one == Load::default()) != (other == Load::default())
 }
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -333,7 +333,7 @@
         }
         Some(
             common
-                + f64::from(load.reading) / READ_RATE
+                + f64::from(load.prefill_tokens) / READ_RATE
                 + f64::from(load.requests) * RUN_COST
                 + tokens / room * MEMORY_COST,
         )
--- a/crates/forward/src/config.rs
+++ b/crates/forward/src/config.rs
@@ -60,7 +60,7 @@
     /// Whether a run's KV memory can be copied to a second engine while it grows.
     pub backups: bool,
     /// How long a finished copy is kept without being used.
-    pub handle_life: Duration,
+    pub handle_ttl: Duration,
     /// KV memory, in tokens.
     pub kv_tokens: u32,
     /// Whether a run can be moved to another engine.
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -46,7 +46,7 @@
     /// KV memory that its requests are expected to need together, in tokens.
     pub tokens: u32,
     /// Prompt tokens of requests that have made no token yet.
-    pub reading: u32,
+    pub prefill_tokens: u32,
     /// Requests.
     pub requests: u32,
 }
@@ -56,7 +56,7 @@
     pub const fn add(&mut self, other: Self) {
         self.copies = self.copies.saturating_add(other.copies);
         self.tokens = self.tokens.saturating_add(other.tokens);
-        self.reading = self.reading.saturating_add(other.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_add(other.prefill_tokens);
         self.requests = self.requests.saturating_add(other.requests);
     }
 
@@ -64,7 +64,7 @@
     pub const fn subtract(&mut self, other: Self) {
         self.copies = self.copies.saturating_sub(other.copies);
         self.tokens = self.tokens.saturating_sub(other.tokens);
-        self.reading = self.reading.saturating_sub(other.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
         self.requests = self.requests.saturating_sub(other.requests);
     }
 }
--- a/crates/forward/src/request.rs
+++ b/crates/forward/src/request.rs
@@ -20,7 +20,7 @@
     /// Output tokens that the caller expects; right at the median only.
     pub length_hint: Option<u32>,
     /// Most output tokens.
-    pub most_output: u32,
+    pub max_output_tokens: u32,
     /// Path, without the query.
     pub path: String,
     /// Tokens in the prompt.
@@ -58,7 +58,7 @@
     /// How long the next try may take, after `runs` of them: a part of the time that is left
     /// while another one may follow.
     #[must_use]
-    pub fn try_limit(&self, now: Time, runs: u32) -> Duration {
+    pub fn attempt_timeout(&self, now: Time, runs: u32) -> Duration {
         let left = self.expires.since(now);
         if self.may_run_again(runs + 1) {
             return left.mul_f64(TRY_SHARE);
@@ -70,7 +70,7 @@
     /// is a caller believed: an engine that began elsewhere in another stream would leave
     /// events out.
     #[must_use]
-    pub fn resumes_behind<'a>(&self, inbound: &'a Inbound) -> Option<&'a str> {
+    pub fn resume_after<'a>(&self, inbound: &'a Inbound) -> Option<&'a str> {
         inbound
             .last_event
             .as_deref()
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -35,7 +35,7 @@
     /// Engine that a copy for its move is being made at.
     pub target: Option<EndpointKey>,
     /// Most output tokens, by the caller's bound.
-    pub most: u32,
+    pub max_output_tokens: u32,
     /// Tokens in its prompt.
     pub prompt: u32,
     /// Service that it belongs to.
@@ -76,7 +76,7 @@
     /// Output tokens that it may still make by the caller's bound.
     #[must_use]
     pub fn most_left(&self) -> u32 {
-        self.most.saturating_sub(self.made())
+        self.max_output_tokens.saturating_sub(self.made())
     }
 
     /// What it asks of its engine.
@@ -84,7 +84,7 @@
     pub fn load(&self) -> Load {
         Load {
             copies: 0,
-            reading: if self.events == 0 { self.prompt } else { 0 },
+            prefill_tokens: if self.events == 0 { self.prompt } else { 0 },
             requests: 1,
             tokens: self.need(),
         }
@@ -95,7 +95,7 @@
     pub fn copy_load(&self) -> Load {
         Load {
             copies: self.need(),
-            reading: 0,
+            prefill_tokens: 0,
             requests: 0,
             tokens: self.need(),
         }
--- a/crates/forward/src/sequence.rs
+++ b/crates/forward/src/sequence.rs
@@ -17,7 +17,7 @@
 impl Sequence {
     /// A stream whose caller already has the events up to `last`.
     #[must_use]
-    pub fn behind(last: Option<&str>) -> Self {
+    pub fn after(last: Option<&str>) -> Self {
         Self {
             last: last.map(str::to_string),
             last_number: last.and_then(|last| last.parse().ok()),
@@ -26,7 +26,7 @@
     }
 
     /// Takes an event in by its id; tells whether it is to be passed on.
-    pub fn take(&mut self, id: Option<&str>) -> bool {
+    pub fn accept(&mut self, id: Option<&str>) -> bool {
         let Some(id) = id else {
             // Comments and events without an id have no place in the order.
             return true;
@@ -46,7 +46,7 @@
 
     /// Whether an event is missing.
     #[must_use]
-    pub const fn broken(&self) -> bool {
+    pub const fn has_gap(&self) -> bool {
         self.broken
     }
 
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// The entry of an id is gone.
-    Gone(String),
+    Removed(String),
     /// An entry is new or has changed.
     Set(Listing),
 }
@@ -38,7 +38,7 @@
     pub(crate) config: Option<Config>,
     /// Age of the configuration.
     pub config_freshness: Freshness,
-    domains_out: Vec<String>,
+    disabled_domains: Vec<String>,
     pub(crate) endpoints: SlotMap<EndpointKey, Endpoint>,
     /// Load of other instances, by their own reports.
     pub peer_loads: PeerLoads,
@@ -55,13 +55,13 @@
     store_back: Option<Time>,
     /// Load of other instances, by sums.
     pub sums: Sums,
-    waiting: Vec<Place>,
+    waiting: Vec<QueuePosition>,
     next_waiter: u64,
 }
 
 /// Place in the queue of a service: the rank of a request, then its turn.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct QueuePosition {
     priority: u8,
     service: String,
     turn: u64,
@@ -75,7 +75,7 @@
             budget: RetryBudget::new(&settings),
             config: None,
             config_freshness: Freshness::default(),
-            domains_out: Vec::new(),
+            disabled_domains: Vec::new(),
             endpoints: SlotMap::with_key(),
             peer_loads: PeerLoads::default(),
             instances: settings.max_instances.max(1),
@@ -133,12 +133,12 @@
     /// Takes a failure domain out, or back in. Returns whether that changed anything.
     pub fn set_domain(&mut self, domain: &str, out: bool) -> bool {
         let place = self
-            .domains_out
+            .disabled_domains
             .binary_search_by(|other| other.as_str().cmp(domain));
         match (place, out) {
-            (Err(place), true) => self.domains_out.insert(place, domain.to_string()),
+            (Err(place), true) => self.disabled_domains.insert(place, domain.to_string()),
             (Ok(place), false) => {
-                self.domains_out.remove(place);
+                self.disabled_domains.remove(place);
             }
             (Ok(_), true) | (Err(_), false) => return false,
         }
@@ -147,8 +147,8 @@
 
     /// Failure domains that are taken out, sorted.
     #[must_use]
-    pub fn domains_out(&self) -> &[String] {
-        &self.domains_out
+    pub fn disabled_domains(&self) -> &[String] {
+        &self.disabled_domains
     }
 
     /// The list was complete when its question was sent at `asked`.
@@ -164,7 +164,7 @@
     /// Takes a change of the list in.
     pub fn change(&mut self, now: Time, change: Change) {
         match change {
-            Change::Gone(id) => self.gone(now, &id),
+            Change::Removed(id) => self.gone(now, &id),
             Change::Set(listing) => match self.find(&listing.id) {
                 Some(key) => self.endpoints[key].update(listing, now),
                 None => {
@@ -231,9 +231,9 @@
     }
 
     /// Takes a place in the queue of a service.
-    pub fn enqueue(&mut self, ticket: &Ticket) -> Place {
+    pub fn enqueue(&mut self, ticket: &Ticket) -> QueuePosition {
         self.next_waiter += 1;
-        let place = Place {
+        let place = QueuePosition {
             priority: ticket.priority,
             service: ticket.service.clone(),
             turn: self.next_waiter,
@@ -243,7 +243,7 @@
     }
 
     /// Leaves the queue.
-    pub fn dequeue(&mut self, place: &Place) {
+    pub fn dequeue(&mut self, place: &QueuePosition) {
         self.waiting.retain(|other| other != place);
     }
 
@@ -255,7 +255,7 @@
 
     /// Whether another request of the service comes first.
     #[must_use]
-    pub fn passed_over(&self, place: &Place) -> bool {
+    pub fn is_preceded(&self, place: &QueuePosition) -> bool {
         self.waiting.iter().any(|other| {
             other.service == place.service
                 && (other.priority, other.turn) < (place.priority, place.turn)
@@ -266,7 +266,7 @@
     #[must_use]
     pub fn is_out(&self, domain: &str) -> bool {
         let found = self
-            .domains_out
+            .disabled_domains
             .binary_search_by(|other| other.as_str().cmp(domain));
         found.is_ok()
     }
@@ -327,7 +327,7 @@
     /// An engine that is leaving still works for a while, and may be all that is left of
     /// the run; a failure domain that was taken out gets nothing more.
     #[must_use]
-    pub fn may_go_on_at(&self, now: Time, key: EndpointKey) -> bool {
+    pub fn may_continue_at(&self, now: Time, key: EndpointKey) -> bool {
         self.endpoints.get(key).is_some_and(|endpoint| {
             let left = endpoint
                 .leaving_since
@@ -339,10 +339,10 @@
     /// The engine that holds a generation's copy, if the generation should go on there
     /// though its own engine still works.
     #[must_use]
-    pub fn sound_backup(&self, now: Time, run: RunKey) -> Option<EndpointKey> {
+    pub fn healthy_backup(&self, now: Time, run: RunKey) -> Option<EndpointKey> {
         let backup = self.runs.get(run)?.backup?;
         let endpoint = self.endpoints.get(backup)?;
-        (endpoint.usable(now) && self.may_go_on_at(now, backup)).then_some(backup)
+        (endpoint.usable(now) && self.may_continue_at(now, backup)).then_some(backup)
     }
 
     fn find(&self, id: &str) -> Option<EndpointKey> {
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -113,7 +113,7 @@
             let digest = self.random.random_range(0..ENDPOINTS) * 1000;
             let load = Load {
                 copies: 0,
-                reading: 0,
+                prefill_tokens: 0,
                 requests: 1,
                 tokens: 3000,
             };
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -68,7 +68,7 @@
 pub fn engine() -> Engine {
     Engine {
         backups: true,
-        handle_life: Duration::from_secs(5),
+        handle_ttl: Duration::from_secs(5),
         kv_tokens: 34_000,
         moves: true,
         slots: 48,
@@ -111,7 +111,7 @@
         key: Some("key-1".to_string()),
         last_event: None,
         length_hint: Some(900),
-        most_output: 2000,
+        max_output_tokens: 2000,
         path: path.to_string(),
         prompt: 3000,
     }
@@ -153,7 +153,7 @@
         endpoint,
         events: 0,
         expected: LONG.output,
-        most: 2000,
+        max_output_tokens: 2000,
         prompt: LONG.prompt,
         service: "model".to_string(),
         target: None,
--- a/crates/forward/tests/knowledge.rs
+++ b/crates/forward/tests/knowledge.rs
@@ -95,7 +95,7 @@
     assert_eq!(long.map(|_| ()), Err(Refusal::Stopping));
     let mut short = inbound("/draft/x", at(100));
     short.length_hint = Some(8);
-    short.most_output = 60;
+    short.max_output_tokens = 60;
     let admitted = state.admit(at(100), &short);
     assert_eq!(admitted.map(|ticket| ticket.version), Ok(1));
     state.config_freshness.confirm(at(7000));
@@ -153,7 +153,7 @@
     hopeful.length_hint = Some(120);
     let refused = state.admit(at(4300), &hopeful);
     assert_eq!(refused.map(|_| ()), Err(Refusal::Stopping));
-    hopeful.most_output = 120;
+    hopeful.max_output_tokens = 120;
     let admitted = state.admit(at(4300), &hopeful);
     assert_eq!(admitted.map(|ticket| ticket.version), Ok(1));
 }
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -23,7 +23,7 @@
         let mut leaving = listing("m1", "model", "a");
         leaving.leaving = true;
         let change = if vanishes {
-            Change::Gone("m1".to_string())
+            Change::Removed("m1".to_string())
         } else {
             Change::Set(leaving)
         };
@@ -45,7 +45,7 @@
     let mut state = instance(&pair());
     let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
     let run = begin(&mut state, first, None);
-    state.change(at(300), Change::Gone(id(&state, first)));
+    state.change(at(300), Change::Removed(id(&state, first)));
     assert!(state.must_move(run));
 }
 
@@ -58,7 +58,7 @@
     state.confirm_list(at(1000), at(900));
     state.confirm_list(at(8000), at(7990));
     for name in ["m1", "m2"] {
-        state.change(at(8001), Change::Gone(name.to_string()));
+        state.change(at(8001), Change::Removed(name.to_string()));
     }
     let (during, _) = sent(state.pick(at(8100), "model", LONG, &[]));
     assert_eq!(id(&state, during), "m1");
@@ -81,14 +81,14 @@
     let (first, backup) = sent(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
     let run = begin(&mut state, first, Some(backup));
-    assert!(state.may_go_on_at(at(20), backup));
-    assert_eq!(state.sound_backup(at(20), run), Some(backup));
+    assert!(state.may_continue_at(at(20), backup));
+    assert_eq!(state.healthy_backup(at(20), run), Some(backup));
     state.set_domain("b", true);
-    assert!(!state.may_go_on_at(at(20), backup));
-    assert_eq!(state.sound_backup(at(20), run), None);
+    assert!(!state.may_continue_at(at(20), backup));
+    assert_eq!(state.healthy_backup(at(20), run), None);
     assert_eq!(state.pick_target(at(20), run, &[]), None);
     state.set_domain("b", false);
-    assert!(state.may_go_on_at(at(20), backup));
+    assert!(state.may_continue_at(at(20), backup));
 }
 
 /// The engine that holds a run's copy leaves as well. For a moment it is all that is left
@@ -103,9 +103,9 @@
     let mut leaving = listing(&name, "model", "b");
     leaving.leaving = true;
     state.change(at(1000), Change::Set(leaving));
-    assert_eq!(state.sound_backup(at(1100), run), None);
-    assert!(state.may_go_on_at(at(1800), backup));
-    assert!(!state.may_go_on_at(at(2000), backup));
+    assert_eq!(state.healthy_backup(at(1100), run), None);
+    assert!(state.may_continue_at(at(1800), backup));
+    assert!(!state.may_continue_at(at(2000), backup));
 }
 
 /// An engine dies without a word. The first request that cannot reach it must keep the
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -269,11 +269,11 @@
     ticket.priority = 0;
     let check = state.enqueue(&ticket);
     let later = state.enqueue(&ticket);
-    assert!(state.passed_over(&long) && state.passed_over(&later));
-    assert!(!state.passed_over(&check));
+    assert!(state.is_preceded(&long) && state.is_preceded(&later));
+    assert!(!state.is_preceded(&check));
     state.dequeue(&check);
     state.dequeue(&later);
-    assert!(!state.passed_over(&long));
+    assert!(!state.is_preceded(&long));
 }
 
 /// A caller's estimate is right at the median only, so half of all runs outlive it. A run
@@ -316,6 +316,6 @@
         state.enqueue(&ticket)
     };
     let (first, urgent) = (place("key-1"), place("key-2"));
-    assert!(state.passed_over(&first));
-    assert!(!state.passed_over(&urgent));
+    assert!(state.is_preceded(&first));
+    assert!(!state.is_preceded(&urgent));
 }
--- a/crates/forward/tests/resuming.rs
+++ b/crates/forward/tests/resuming.rs
@@ -30,8 +30,8 @@
     let mut request = inbound("/draft/7", at(10));
     request.last_event = Some("12".to_string());
     let resumable = ticket(Kind::Stream, true);
-    assert_eq!(resumable.resumes_behind(&request), Some("12"));
-    assert_eq!(ticket(Kind::Stream, false).resumes_behind(&request), None);
+    assert_eq!(resumable.resume_after(&request), Some("12"));
+    assert_eq!(ticket(Kind::Stream, false).resume_after(&request), None);
 }
 
 /// An engine dies before its first event. A second run of a draft that cannot be resumed
@@ -64,18 +64,18 @@
     #[test]
     fn every_event_comes_once(had in 0..30_u32, pieces in prop::collection::vec((0..4_u32, 1..12_u32), 1..8)) {
         let last = (had > 0).then(|| had.to_string());
-        let mut sequence = Sequence::behind(last.as_deref());
+        let mut sequence = Sequence::after(last.as_deref());
         let mut seen = Vec::new();
         for (earlier, count) in pieces {
             let last = sequence.last().and_then(|last| last.parse::<u32>().ok());
             let from = last.unwrap_or_default().saturating_sub(earlier) + 1;
             for number in from..from + count {
-                if sequence.take(Some(&number.to_string())) {
+                if sequence.accept(Some(&number.to_string())) {
                     seen.push(number);
                 }
             }
         }
-        prop_assert!(!sequence.broken());
+        prop_assert!(!sequence.has_gap());
         let expected = (had + 1..).take(seen.len()).collect::<Vec<_>>();
         prop_assert_eq!(seen, expected);
     }
--- a/crates/forward/tests/sequence.rs
+++ b/crates/forward/tests/sequence.rs
@@ -8,10 +8,10 @@
 fn events_that_were_passed_on_are_dropped() {
     let mut sequence = Sequence::default();
     let passed = ["1", "2", "3", "2", "3", "4"]
-        .map(|id| sequence.take(Some(id)))
+        .map(|id| sequence.accept(Some(id)))
         .to_vec();
     assert_eq!(passed, [true, true, true, false, false, true]);
-    assert!(!sequence.broken());
+    assert!(!sequence.has_gap());
     assert_eq!(sequence.last(), Some("4"));
     assert_eq!(sequence.count(), 4);
 }
@@ -22,9 +22,9 @@
 fn a_gap_breaks_the_stream() {
     let mut sequence = Sequence::default();
     for id in ["1", "2", "4"] {
-        sequence.take(Some(id));
+        sequence.accept(Some(id));
     }
-    assert!(sequence.broken());
+    assert!(sequence.has_gap());
 }
 
 /// Ids may count in steps other than one.
@@ -32,9 +32,9 @@
 fn the_step_is_learnt() {
     let mut sequence = Sequence::default();
     for id in ["4", "8", "12"] {
-        assert!(sequence.take(Some(id)));
+        assert!(sequence.accept(Some(id)));
     }
-    assert!(!sequence.broken());
-    sequence.take(Some("20"));
-    assert!(sequence.broken());
+    assert!(!sequence.has_gap());
+    sequence.accept(Some("20"));
+    assert!(sequence.has_gap());
 }
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -119,7 +119,7 @@
 /// Instances, the store's log, and the truth.
 #[derive(Debug)]
 pub struct World {
-    domains_out: [Since; 3],
+    disabled_domains: [Since; 3],
     instances: Vec<Instance>,
     /// Since when each key has been held, or taken away.
     keys: [(bool, u64); KEYS],
@@ -175,7 +175,7 @@
             .collect();
         let mut world = Self {
             started_at: 1,
-            domains_out: [None; 3],
+            disabled_domains: [None; 3],
             instances,
             keys: [(true, 0); KEYS],
             letters: Vec::new(),
@@ -216,8 +216,8 @@
                 }
             }
             Op::Domain(place, out) => {
-                if self.domains_out[place].is_some() != out {
-                    self.domains_out[place] = out.then_some(self.now);
+                if self.disabled_domains[place].is_some() != out {
+                    self.disabled_domains[place] = out.then_some(self.now);
                     self.log[OPERATORS].push(Fact::Domain(domain(place), out));
                 }
             }
@@ -233,7 +233,7 @@
                 self.instances[place] = Instance::new(place, self.lives, self.now);
             }
             Op::Vanish(engine) => {
-                let gone = Change::Gone(engine_name(engine));
+                let gone = Change::Removed(engine_name(engine));
                 self.log[ENDPOINTS].push(Fact::Endpoint(gone));
             }
             Op::Start(engine) => {
@@ -324,7 +324,7 @@
                 }
                 Fact::Endpoint(change) => {
                     let (engine, left) = match &change {
-                        Change::Gone(name) => (engine_of(name), Some((self.now, false))),
+                        Change::Removed(name) => (engine_of(name), Some((self.now, false))),
                         Change::Set(listing) if listing.leaving => {
                             (engine_of(&listing.id), Some((self.now, true)))
                         }
@@ -432,7 +432,7 @@
     /// domain that it had to know to be out.
     fn check_place(&self, place: usize, engine: usize) {
         let proven = self.instances[place].proven[OPERATORS];
-        if let Some(since) = self.domains_out[engine % 3] {
+        if let Some(since) = self.disabled_domains[engine % 3] {
             let known = proven.is_some_and(|asked| asked > since);
             assert!(!known, "sent to a domain that is out");
         }
--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -38,7 +38,7 @@
     for id in state.listed() {
         if !records.iter().any(|record| record.key == id) {
             log::info!(endpoint = id; "endpoint not among the newest records");
-            state.change(now, Change::Gone(id));
+            state.change(now, Change::Removed(id));
         }
     }
 }
@@ -69,7 +69,7 @@
         })
         .collect::<Vec<_>>();
     let mut state = shared.state.borrow_mut();
-    for domain in state.domains_out().to_vec() {
+    for domain in state.disabled_domains().to_vec() {
         if !out.contains(&domain) {
             log::info!(domain; "failure domain in again by the newest records");
             state.set_domain(&domain, false);
@@ -83,7 +83,7 @@
         (_, Some(error)) => {
             log::warn!(endpoint = record.key, offset = record.offset, error:%; "entry of no use");
         }
-        (Change::Gone(id), None) => {
+        (Change::Removed(id), None) => {
             log::info!(endpoint = id, offset = record.offset; "endpoint gone from the list");
         }
         (Change::Set(listing), None) => log::info!(
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -137,7 +137,7 @@
         digest,
         load.tokens,
         load.copies,
-        load.reading,
+        load.prefill_tokens,
         load.requests,
     )
 }
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -120,7 +120,7 @@
     progress: &Progress,
     key: EndpointKey,
 ) -> Result<Whole, Failure> {
-    let limit = ticket.try_limit(clock::now(), progress.runs);
+    let limit = ticket.attempt_timeout(clock::now(), progress.runs);
     let destination = Destination {
         backup: None,
         customer: ticket.customer.as_deref(),
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -121,7 +121,7 @@
     pub fn new(shared: &Rc<Shared>, start: Start) -> Self {
         let now = clock::now();
         let inbound = &start.original.inbound;
-        let behind = start.ticket.resumes_behind(inbound);
+        let behind = start.ticket.resume_after(inbound);
         Self {
             asked_copy: false,
             busy: start.busy,
@@ -134,7 +134,7 @@
             progress: start.progress,
             quiet_since: now,
             running: start.running,
-            sequence: Sequence::behind(behind),
+            sequence: Sequence::after(behind),
             shared: Rc::clone(shared),
             source: start.source,
             takeovers: 0,
@@ -237,7 +237,7 @@
     fn sound_takeover(&self) -> Option<Takeover> {
         let sound = {
             let state = self.shared.state.borrow();
-            state.sound_backup(clock::now(), self.running.key)
+            state.healthy_backup(clock::now(), self.running.key)
         };
         self.backup_takeover()
             .filter(|takeover| Some(takeover.key) == sound)
@@ -306,10 +306,10 @@
 
     async fn pass_on(&mut self, blocks: Vec<Bytes>) -> Result<(), Ending> {
         for block in blocks {
-            if !self.sequence.take(sse::id(&block)) {
+            if !self.sequence.accept(sse::id(&block)) {
                 continue;
             }
-            if self.sequence.broken() {
+            if self.sequence.has_gap() {
                 return Err(Ending::Lost("an event is missing".to_string()));
             }
             let sent = timeout(SLOW_READER, self.out.send(Part::Data(block))).await;
--- a/crates/proxy/src/relay/loss.rs
+++ b/crates/proxy/src/relay/loss.rs
@@ -218,7 +218,7 @@
         let key = {
             let state = self.shared.state.borrow();
             let key = state.run(self.running.key)?.backup?;
-            state.may_go_on_at(clock::now(), key).then_some(key)?
+            state.may_continue_at(clock::now(), key).then_some(key)?
         };
         Some(Takeover {
             address: self.shared.target(key)?.0,
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -22,7 +22,7 @@
         load::Report,
         reader::{Readers, TOPICS},
         request::Ticket,
-        state::Place,
+        state::QueuePosition,
     },
     platform::{Store, store::Topic},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
@@ -138,7 +138,7 @@
 /// A place in the queue, left when it is dropped.
 #[derive(Debug)]
 pub struct Waiting {
-    place: Place,
+    place: QueuePosition,
     shared: Rc<Shared>,
 }
 
@@ -156,7 +156,7 @@
     /// Whether another request comes first.
     #[must_use]
     pub fn passed_over(&self) -> bool {
-        self.shared.state.borrow().passed_over(&self.place)
+        self.shared.state.borrow().is_preceded(&self.place)
     }
 }
 
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -115,10 +115,10 @@
 
 /// Output tokens to expect: the caller's own estimate, right at the median.
 fn expected(inbound: &Inbound) -> u32 {
-    let most = if inbound.most_output == 0 {
+    let most = if inbound.max_output_tokens == 0 {
         TYPICAL_OUTPUT
     } else {
-        inbound.most_output
+        inbound.max_output_tokens
     };
     inbound.length_hint.map_or(most, |hint| hint.min(most))
 }
@@ -142,7 +142,7 @@
         endpoint: key,
         events: 0,
         expected,
-        most: original.inbound.most_output.max(expected),
+        max_output_tokens: original.inbound.max_output_tokens.max(expected),
         prompt: original.inbound.prompt,
         service: ticket.service.clone(),
         target: None,
@@ -177,13 +177,13 @@
     key: EndpointKey,
     backup: Option<EndpointKey>,
 ) -> Opened {
-    let limit = ticket.try_limit(clock::now(), progress.runs);
+    let limit = ticket.attempt_timeout(clock::now(), progress.runs);
     let destination = Destination {
         backup,
         customer: ticket.customer.as_deref(),
         expires: ticket.expires,
         key,
-        last_event: ticket.resumes_behind(&original.inbound),
+        last_event: ticket.resume_after(&original.inbound),
         source: None,
     };
     let opened = async {
--- a/crates/proxy/src/transfer.rs
+++ b/crates/proxy/src/transfer.rs
@@ -93,7 +93,7 @@
             .shared
             .state
             .borrow()
-            .sound_backup(clock::now(), self.run);
+            .healthy_backup(clock::now(), self.run);
         if let Some(takeover) = backup.filter(|takeover| Some(takeover.key) == sound) {
             match self.within_overlap(&takeover, "leaving").await {
                 Relocated::NotYet(_) => {}
