--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -139,7 +139,7 @@
     let (life, micros) = echo;
     let echo = EchoTimestamp {
         at: Time::from_micros(micros),
-        incarnation,
+        incarnation: life,
     };
     for (topic, word) in topic::ALL.into_iter().zip(words) {
         let known = shared.topic(topic).position.get();
