--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -136,10 +136,10 @@
         .readers
         .borrow_mut()
         .update(name, now, aggregates, words);
-    let (life, micros) = echo;
+    let (incarnation, micros) = echo;
     let echo = EchoTimestamp {
         at: Time::from_micros(micros),
-        incarnation: life,
+        incarnation,
     };
     for (topic, word) in topic::ALL.into_iter().zip(words) {
         let known = shared.topic(topic).position.get();
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -144,10 +144,10 @@
 
 /// A row as decisions know it.
 #[must_use]
-pub const fn load((digest, tokens, copies, reading, requests): Row) -> (u32, Load) {
+pub const fn load((digest, tokens, copies, prefill_tokens, requests): Row) -> (u32, Load) {
     let load = Load {
         copies,
-        reading,
+        prefill_tokens,
         requests,
         tokens,
     };
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -345,8 +345,8 @@
     /// to hear of it before their next choice.
     pub fn take_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
-        let State { fellows, sums, .. } = &mut *state;
-        let before = fellows.report(member);
+        let State { peer_loads, sums, .. } = &mut *state;
+        let before = peer_loads.report(member);
         let grown = loads.iter().filter(|(digest, load)| {
             let before = before.iter().find(|(other, _)| other == digest);
             before.is_none_or(|(_, before)| load.requests > before.requests)
@@ -356,16 +356,16 @@
             self.grown.borrow_mut().extend(grown);
             self.report_now.notify_one();
         }
-        sums.report(now, fellows, member, number, loads);
+        sums.report(now, peer_loads, member, number, loads);
     }
 
     /// Takes the present sums into the table that members are told from.
     pub fn publish(&self, own: Report) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let State { fellows, sums, .. } = &mut *state;
-        fellows.expire(now);
-        sums.publish(now, fellows, own);
+        let State { peer_loads, sums, .. } = &mut *state;
+        peer_loads.expire(now);
+        sums.publish(now, peer_loads, own);
     }
 
     /// Settles where the load of other instances is taken from.
