--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -169,8 +169,8 @@
     ) -> Option<EndpointKey> {
         let run = self.runs.get(run)?;
         let service = self.service(&run.service)?;
-        let left = run.left();
-        self.pick_copy(now, service, run.need(), left, endpoint, &self.loads())
+        let remaining = run.remaining();
+        self.pick_copy(now, service, run.need(), remaining, endpoint, &self.loads())
     }
 
     /// Whether a generation is likely to end before an engine that has said that it leaves
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -9,15 +9,15 @@
 /// that is there is refused to prompts and to runs whose engine leaves.
 const GROWTH: f64 = 0.25;
 
-/// KV memory to count for a run that holds `held` tokens and makes `left` more.
+/// KV memory to count for a run that holds `held` tokens and makes `remaining` more.
 #[must_use]
-pub fn memory(held: u32, left: u32) -> u32 {
+pub fn memory(held: u32, remaining: u32) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a part of a count that fits"
     )]
-    let growth = (f64::from(left) * GROWTH) as u32;
+    let growth = (f64::from(remaining) * GROWTH) as u32;
     held.saturating_add(growth)
 }
 
@@ -47,20 +47,20 @@
 impl Run {
     /// Tokens made so far.
     #[must_use]
-    pub const fn made(&self) -> u32 {
+    pub const fn generated(&self) -> u32 {
         self.events.saturating_mul(self.tokens_per_event)
     }
 
     /// KV memory that it holds, in tokens.
     #[must_use]
     pub const fn held(&self) -> u32 {
-        self.prompt.saturating_add(self.made())
+        self.prompt.saturating_add(self.generated())
     }
 
     /// KV memory to count for it, in tokens.
     #[must_use]
     pub fn need(&self) -> u32 {
-        memory(self.held(), self.left())
+        memory(self.held(), self.remaining())
     }
 
     /// Output tokens still expected.
@@ -68,15 +68,15 @@
     /// A run that has outlived its expectation is taken to go on for an eighth of what
     /// it made: lengths are spread widely, so the longer it ran, the longer it will.
     #[must_use]
-    pub fn left(&self) -> u32 {
-        let made = self.made();
-        self.expected.saturating_sub(made).max(made / 8)
+    pub fn remaining(&self) -> u32 {
+        let generated = self.generated();
+        self.expected.saturating_sub(generated).max(generated / 8)
     }
 
     /// Output tokens that it may still make by the caller's bound.
     #[must_use]
     pub fn most_left(&self) -> u32 {
-        self.max_output_tokens.saturating_sub(self.made())
+        self.max_output_tokens.saturating_sub(self.generated())
     }
 
     /// What it asks of its engine.
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -142,7 +142,7 @@
         runs.retain_mut(|(run, length): &mut (RunKey, u32)| {
             let known = state.run_mut(*run).expect("a run");
             known.events += 5 * u32::from(step % 2 == 0);
-            let ended = known.made() >= *length;
+            let ended = known.generated() >= *length;
             if ended {
                 state.end(*run);
             }
--- a/crates/proxy/src/relay/loss.rs
+++ b/crates/proxy/src/relay/loss.rs
@@ -208,8 +208,8 @@
         let state = self.shared.state.borrow();
         let run = state.run(self.running.key);
         run.map_or_else(Need::default, |run| Need {
-            output: run.left(),
-            prompt: run.prompt.saturating_add(run.made()),
+            output: run.remaining(),
+            prompt: run.prompt.saturating_add(run.generated()),
         })
     }
 
