--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        choice::{READ_RATE, TOKEN_TIME},
+        choice::{PREFILL_TOKENS_PER_MS, MAX_TOKEN_TIME},
         prelude::*,
         request::Ticket,
         state::State,
@@ -16,10 +16,10 @@
 /// Age of the configuration up to which a missing route or key is believed missing; a
 /// little below the two seconds in which every instance in touch has a new version.
 /// Beyond it the caller is sent elsewhere, since the newer configuration may have it.
-const BELIEVE_MISSING: Duration = Duration::from_millis(1950);
+const MAX_AGE_FOR_NOT_FOUND: Duration = Duration::from_millis(1950);
 
 /// Time for the way, the queue, and everything else that an answer takes.
-const OVERHEAD: Duration = Duration::from_millis(400);
+const ANSWER_OVERHEAD: Duration = Duration::from_millis(400);
 
 impl State {
     /// Whether a request may be served, and how.
@@ -28,18 +28,18 @@
     ///
     /// The truthful refusal; nothing has been sent.
     pub fn admit(&mut self, now: Time, inbound: &Inbound) -> Result<Ticket, Refusal> {
-        let believed = self.config_freshness.within(now, BELIEVE_MISSING);
-        let missing = |refusal| if believed { refusal } else { Refusal::Stale };
+        let is_recent = self.config_freshness.within(now, MAX_AGE_FOR_NOT_FOUND);
+        let not_found = |refusal| if is_recent { refusal } else { Refusal::Stale };
         let config = self.config.as_ref().ok_or(Refusal::Unconfigured)?;
         let route = config
             .route(&inbound.host, &inbound.path)
-            .ok_or_else(|| missing(Refusal::UnknownRoute))?;
+            .ok_or_else(|| not_found(Refusal::UnknownRoute))?;
         let mut customer = None;
-        if config.keyed() && !route.anonymous {
+        if config.requires_keys() && !route.anonymous {
             let key = inbound.key.as_deref().unwrap_or_default();
             let holder = config
                 .customer(key)
-                .ok_or_else(|| missing(Refusal::UnknownKey))?;
+                .ok_or_else(|| not_found(Refusal::UnknownKey))?;
             let bound = self.settings.revocation.saturating_sub(REVOCATION_MARGIN);
             if !self.config_freshness.within(now, bound) {
                 return Err(Refusal::Stale);
@@ -55,8 +55,8 @@
             return Err(Refusal::Expired);
         }
         if self
-            .stops
-            .is_some_and(|stops| now.after(duration(route, inbound)) > stops)
+            .stops_at
+            .is_some_and(|stops_at| now.after(max_duration(route, inbound)) > stops_at)
         {
             return Err(Refusal::Stopping);
         }
@@ -66,7 +66,7 @@
             priority: customer
                 .and_then(|customer| customer.priority)
                 .unwrap_or(route.priority),
-            service: draw(&route.split, &mut self.random),
+            service: weighted_service(&route.split, &mut self.random),
             route: route.clone(),
             version: config.version,
         })
@@ -106,31 +106,31 @@
             && self.config_freshness.within(now, bound)
     }
 
-    /// The instance ends at `stops`. Requests that would not be answered by then are
+    /// The instance ends at `stops_at`. Requests that would not be answered by then are
     /// refused: their callers are served by another instance, while an answer that is cut
     /// off is lost, and a generation cannot be repeated.
-    pub const fn stop(&mut self, stops: Time) {
-        self.stops = Some(stops);
+    pub const fn stop(&mut self, stops_at: Time) {
+        self.stops_at = Some(stops_at);
     }
 }
 
 /// How long the answer to a request is likely to take, on the safe side.
-fn duration(route: &Route, inbound: &Inbound) -> Duration {
+fn max_duration(route: &Route, inbound: &Inbound) -> Duration {
     if route.kind != Kind::Stream {
-        return OVERHEAD.min(route.timeout);
+        return ANSWER_OVERHEAD.min(route.timeout);
     }
-    let reading = Duration::from_secs_f64(f64::from(inbound.prompt) / READ_RATE / 1000.0);
+    let prefill = Duration::from_secs_f64(f64::from(inbound.prompt) / PREFILL_TOKENS_PER_MS / 1000.0);
     // The caller's own estimate is right at the median only; its bound is sure.
     let output = if inbound.max_output_tokens == 0 {
         u32::MAX
     } else {
         inbound.max_output_tokens
     };
-    reading + TOKEN_TIME.saturating_mul(output) + OVERHEAD
+    prefill + MAX_TOKEN_TIME.saturating_mul(output) + ANSWER_OVERHEAD
 }
 
 /// A service by weight.
-fn draw(split: &[(String, u32)], random: &mut SmallRng) -> String {
+fn weighted_service(split: &[(String, u32)], random: &mut SmallRng) -> String {
     let sum = split.iter().map(|(_, weight)| *weight).sum::<u32>();
     let mut point = if sum == 0 {
         0
--- a/crates/forward/src/aggregate/domains.rs
+++ b/crates/forward/src/aggregate/domains.rs
@@ -5,7 +5,7 @@
 //! another does, as one that has just come back from a freeze.
 
 use {
-    super::{LIFE, add_rows, at, members::Rank, set},
+    super::{SUM_LIFETIME, add_rows, row_load, members::Rank, set_row},
     crate::{endpoint::Load, load::Report, prelude::*},
 };
 
@@ -47,16 +47,16 @@
 
 impl Domain {
     fn chosen(&self) -> Option<&Sum> {
-        let most = self.sums.iter().map(|sum| sum.members).max()?;
+        let max_members = self.sums.iter().map(|sum| sum.members).max()?;
         self.sums
             .iter()
-            .find(|sum| speaks_for_enough(sum.members, most))
+            .find(|sum| covers_enough_members(sum.members, max_members))
     }
 }
 
 /// Whether an aggregator speaks for nearly as many members as the one with the most.
-pub(super) const fn speaks_for_enough(members: u32, most: u32) -> bool {
-    members.saturating_mul(5) >= most.saturating_mul(4)
+pub(super) const fn covers_enough_members(members: u32, max_members: u32) -> bool {
+    members.saturating_mul(5) >= max_members.saturating_mul(4)
 }
 
 /// Sums of the other failure domains.
@@ -115,14 +115,14 @@
                 .retain(|(digest, _)| *digest < from || *digest > to);
         }
         for (digest, load) in &part.rows {
-            set(&mut sum.rows, *digest, *load);
+            set_row(&mut sum.rows, *digest, *load);
         }
     }
 
     /// Drops sums that have outlived their time.
     pub fn expire(&mut self, now: Time) {
         for domain in &mut self.domains {
-            domain.sums.retain(|sum| now.since(sum.at) <= LIFE);
+            domain.sums.retain(|sum| now.since(sum.at) <= SUM_LIFETIME);
         }
     }
 
@@ -138,7 +138,7 @@
     pub fn at(&self, digest: u32) -> Load {
         let mut load = Load::default();
         for sum in self.chosen() {
-            load.add(at(&sum.rows, digest));
+            load.add(row_load(&sum.rows, digest));
         }
         load
     }
--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -8,23 +8,23 @@
 
 /// Instances of a failure domain that add up its load; the second one takes over when the
 /// first falls silent.
-pub const AGGREGATORS: usize = 2;
+pub const AGGREGATORS_PER_DOMAIN: usize = 2;
 
 /// Other instances up to which words to all cost less than sums.
-const MANY: usize = 16;
+const MAX_MESH_PEERS: usize = 16;
 
 /// Time without an answer after which an instance is passed over.
-const SILENT: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for a connection to open. An instance that has just started is known to the other
 /// side only once its entry was read there.
-const CONNECTING: Duration = Duration::from_millis(1500);
+const CONNECT_GRACE: Duration = Duration::from_millis(1500);
 
 /// First pause before an instance that was passed over is tried again; it doubles.
-const FIRST_RETRY: Duration = Duration::from_millis(1500);
+const INITIAL_RETRY_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// Most doublings of [`FIRST_RETRY`].
-const DOUBLINGS: u32 = 2;
+/// Most doublings of [`INITIAL_RETRY_BACKOFF`].
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 slotmap::new_key_type! {
     /// Key of an instance in [`Members`].
@@ -60,11 +60,11 @@
 }
 
 impl Member {
-    const fn trusted(&self) -> bool {
+    const fn is_responsive(&self) -> bool {
         self.retry_at.is_none()
     }
 
-    fn due(&self, now: Time) -> bool {
+    fn is_retry_due(&self, now: Time) -> bool {
         self.retry_at.is_some_and(|retry| now >= retry)
     }
 }
@@ -104,15 +104,15 @@
             retry_at: None,
             unanswered_since: None,
         });
-        let place = self
+        let index = self
             .names
             .partition_point(|(other, _)| other.as_str() < name);
-        self.names.insert(place, (name.to_string(), key));
+        self.names.insert(index, (name.to_string(), key));
         let entry = (domain.to_string(), rank, key);
-        let place = self.ranks.partition_point(|(other, other_rank, _)| {
+        let index = self.ranks.partition_point(|(other, other_rank, _)| {
             (other.as_str(), other_rank) < (domain, &rank)
         });
-        self.ranks.insert(place, entry);
+        self.ranks.insert(index, entry);
     }
 
     /// Forgets an instance whose entry is gone.
@@ -133,8 +133,8 @@
 
     /// Whether there are so many that load is told by sums.
     #[must_use]
-    pub const fn are_many(&self) -> bool {
-        self.names.len() > MANY + 1
+    pub const fn is_aggregated(&self) -> bool {
+        self.names.len() > MAX_MESH_PEERS + 1
     }
 
     /// Name of an instance.
@@ -164,7 +164,7 @@
             let since = if connected {
                 now
             } else {
-                now.after(CONNECTING)
+                now.after(CONNECT_GRACE)
             };
             member.unanswered_since.get_or_insert(since);
         }
@@ -186,10 +186,10 @@
         let mut silent = Vec::new();
         for (key, member) in &mut self.arena {
             let since = member.unanswered_since;
-            if since.is_some_and(|since| now.since(since) > SILENT) {
-                let pause = FIRST_RETRY * 2_u32.pow(member.failures.min(DOUBLINGS));
+            if since.is_some_and(|since| now.since(since) > ANSWER_TIMEOUT) {
+                let backoff = INITIAL_RETRY_BACKOFF * 2_u32.pow(member.failures.min(MAX_BACKOFF_DOUBLINGS));
                 member.failures = member.failures.saturating_add(1);
-                member.retry_at = Some(now.after(pause));
+                member.retry_at = Some(now.after(backoff));
                 member.unanswered_since = None;
                 silent.push(key);
             }
@@ -204,11 +204,11 @@
         let Some(key) = self.find(own) else {
             return Role::Member;
         };
-        if !self.are_many() {
+        if !self.is_aggregated() {
             return Role::Mesh;
         }
         let domain = &self.arena[key].domain;
-        if self.first(domain, key).contains(&key) {
+        if self.aggregators(domain, key).contains(&key) {
             return Role::Aggregator;
         }
         Role::Member
@@ -222,7 +222,7 @@
             return Vec::new();
         };
         let domain = self.arena[key].domain.as_str();
-        if !self.are_many() {
+        if !self.is_aggregated() {
             let others = self.arena.iter().filter(|(other, _)| *other != key);
             let links = others.map(|(key, other)| Link {
                 key,
@@ -240,8 +240,8 @@
                 continue;
             }
             last = other;
-            let chosen = self.first(other, key);
-            let chosen = chosen.into_iter().chain(self.retried(other, now));
+            let chosen = self.aggregators(other, key);
+            let chosen = chosen.into_iter().chain(self.due_for_retry(other, now));
             links.extend(chosen.filter(|other| *other != key).map(|key| Link {
                 key,
                 mutual: aggregates,
@@ -252,18 +252,18 @@
     }
 
     /// The aggregators of a failure domain as this instance sees them.
-    fn first(&self, domain: &str, own: MemberKey) -> Vec<MemberKey> {
-        let trusted = self.ranked(domain).filter(|key| {
+    fn aggregators(&self, domain: &str, own: MemberKey) -> Vec<MemberKey> {
+        let responsive = self.ranked(domain).filter(|key| {
             let member = self.arena.get(*key);
-            *key == own || member.is_some_and(Member::trusted)
+            *key == own || member.is_some_and(Member::is_responsive)
         });
-        trusted.take(AGGREGATORS).collect()
+        responsive.take(AGGREGATORS_PER_DOMAIN).collect()
     }
 
     /// One that was passed over and is to be tried again.
-    fn retried(&self, domain: &str, now: Time) -> Option<MemberKey> {
+    fn due_for_retry(&self, domain: &str, now: Time) -> Option<MemberKey> {
         let mut ranked = self.ranked(domain);
-        ranked.find(|key| self.arena.get(*key).is_some_and(|member| member.due(now)))
+        ranked.find(|key| self.arena.get(*key).is_some_and(|member| member.is_retry_due(now)))
     }
 
     fn ranked(&self, domain: &str) -> impl Iterator<Item = MemberKey> {
@@ -277,10 +277,10 @@
     }
 
     fn find(&self, name: &str) -> Option<MemberKey> {
-        let place = self
+        let index = self
             .names
             .binary_search_by(|(other, _)| other.as_str().cmp(name));
-        place.ok().map(|place| self.names[place].1)
+        index.ok().map(|index| self.names[index].1)
     }
 }
 
--- a/crates/forward/src/aggregate/mod.rs
+++ b/crates/forward/src/aggregate/mod.rs
@@ -26,16 +26,16 @@
 };
 
 /// After this long a sum no longer counts; what it speaks of is mostly done by then.
-pub const LIFE: Duration = Duration::from_secs(2);
+pub const SUM_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Where the load of the other instances is taken from.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 enum Source {
     /// Reports of the instances themselves, and sums of other failure domains.
     #[default]
-    Own,
+    Direct,
     /// The answers of this aggregator.
-    View(String),
+    Aggregator(String),
 }
 
 /// Sums of load beside the reports that this instance hears itself.
@@ -56,7 +56,7 @@
     /// Settles where the load of the other instances is taken from, and drops what has
     /// outlived its time.
     ///
-    /// An aggregator that is cut off, frozen or gone is left within [`view::FRESH`]; until
+    /// An aggregator that is cut off, frozen or gone is left within [`view::MAX_ROW_AGE`]; until
     /// another one answers, an instance chooses by what it knows itself.
     ///
     /// Returns whether that has changed.
@@ -71,7 +71,7 @@
             return false;
         }
         let best = best.map(ToString::to_string);
-        self.source = best.map_or(Source::Own, Source::View);
+        self.source = best.map_or(Source::Direct, Source::Aggregator);
         true
     }
 
@@ -79,8 +79,8 @@
     #[must_use]
     pub fn aggregator(&self) -> Option<&str> {
         match &self.source {
-            Source::Own => None,
-            Source::View(aggregator) => Some(aggregator),
+            Source::Direct => None,
+            Source::Aggregator(aggregator) => Some(aggregator),
         }
     }
 
@@ -94,7 +94,7 @@
     /// heard directly.
     #[must_use]
     pub fn others(&self, peer_loads: &PeerLoads, digest: u32) -> Load {
-        if let Source::View(aggregator) = &self.source {
+        if let Source::Aggregator(aggregator) = &self.source {
             return self.views.at(aggregator, digest);
         }
         let mut load = peer_loads.at(digest);
@@ -132,36 +132,36 @@
         for digest in digests {
             let mut load = peer_loads.at(digest);
             load.add(self.domains.at(digest));
-            load.add(at(&self.own, digest));
+            load.add(row_load(&self.own, digest));
             self.table.set(now, digest, load);
         }
     }
 }
 
 /// Load at an endpoint by rows that are sorted by digest.
-pub(crate) fn at(rows: &Report, digest: u32) -> Load {
-    let place = rows.binary_search_by_key(&digest, |(other, _)| *other);
-    place.map_or_else(|_| Load::default(), |place| rows[place].1)
+pub(crate) fn row_load(rows: &Report, digest: u32) -> Load {
+    let index = rows.binary_search_by_key(&digest, |(other, _)| *other);
+    index.map_or_else(|_| Load::default(), |index| rows[index].1)
 }
 
 /// Adds rows to rows; both are sorted by digest.
 pub fn add_rows(sums: &mut Report, rows: &Report) {
     for (digest, load) in rows {
         match sums.binary_search_by_key(digest, |(other, _)| *other) {
-            Ok(place) => sums[place].1.add(*load),
-            Err(place) => sums.insert(place, (*digest, *load)),
+            Ok(index) => sums[index].1.add(*load),
+            Err(index) => sums.insert(index, (*digest, *load)),
         }
     }
 }
 
 /// Sets the load at an endpoint in rows that are sorted by digest.
-pub(crate) fn set(rows: &mut Report, digest: u32, load: Load) {
+pub(crate) fn set_row(rows: &mut Report, digest: u32, load: Load) {
     match rows.binary_search_by_key(&digest, |(other, _)| *other) {
-        Ok(place) if load == Load::default() => {
-            rows.remove(place);
+        Ok(index) if load == Load::default() => {
+            rows.remove(index);
         }
-        Ok(place) => rows[place].1 = load,
+        Ok(index) => rows[index].1 = load,
         Err(_) if load == Load::default() => {}
-        Err(place) => rows.insert(place, (digest, load)),
+        Err(index) => rows.insert(index, (digest, load)),
     }
 }
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -7,16 +7,16 @@
 
 /// Tokens by which a row has to change to be told again; a step of a choice's cost that is
 /// below what the draw among endpoints adds.
-const TOKENS: u32 = 512;
+const MIN_CHANGE_TOKENS: u32 = 512;
 
 /// The same for tokens of prompts being read.
-const READING: u32 = 256;
+const MIN_CHANGE_PREFILL_TOKENS: u32 = 256;
 
 /// Shortest time between two updates of the table.
-const PAUSE: Duration = Duration::from_millis(40);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time after which a row without load is forgotten; endpoints come and go under new ids.
-const KEPT: Duration = Duration::from_secs(10);
+const EMPTY_ROW_RETENTION: Duration = Duration::from_secs(10);
 
 /// A row as it was told.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Table {
     /// Version from which on rows have been forgotten.
-    forgotten: u64,
+    pruned_version: u64,
     published: Option<Time>,
     /// Sorted by digest.
     rows: Vec<Row>,
@@ -52,15 +52,15 @@
 impl Table {
     /// Takes the present sums in.
     pub fn publish(&mut self, now: Time, sums: &Report) {
-        if self.published.is_some_and(|last| now.since(last) < PAUSE) {
+        if self.published.is_some_and(|last| now.since(last) < PUBLISH_INTERVAL) {
             return;
         }
         self.published = Some(now);
-        self.forget(now);
+        self.prune(now);
         let known = self.rows.iter().map(|row| row.digest);
         for digest in known.collect::<Vec<_>>() {
-            let place = sums.binary_search_by_key(&digest, |(other, _)| *other);
-            let load = place.map_or_else(|_| Load::default(), |place| sums[place].1);
+            let index = sums.binary_search_by_key(&digest, |(other, _)| *other);
+            let load = index.map_or_else(|_| Load::default(), |index| sums[index].1);
             self.set(now, digest, load);
         }
         for (digest, load) in sums {
@@ -71,14 +71,14 @@
     /// Takes the present load of one endpoint in.
     pub fn set(&mut self, now: Time, digest: u32, load: Load) {
         match self.rows.binary_search_by_key(&digest, |row| row.digest) {
-            Ok(place) if differs(load, self.rows[place].load) => {
+            Ok(index) if differs(load, self.rows[index].load) => {
                 self.version += 1;
-                let row = &mut self.rows[place];
+                let row = &mut self.rows[index];
                 row.at = now;
                 row.changed = self.version;
                 row.load = load;
             }
-            Err(place) if load != Load::default() => {
+            Err(index) if load != Load::default() => {
                 self.version += 1;
                 let row = Row {
                     at: now,
@@ -86,22 +86,22 @@
                     digest,
                     load,
                 };
-                self.rows.insert(place, row);
+                self.rows.insert(index, row);
             }
             Ok(_) | Err(_) => {}
         }
     }
 
-    /// Up to `most` rows that have changed since a version.
+    /// Up to `max_rows` rows that have changed since a version.
     #[must_use]
-    pub fn changes(&self, since: u64, most: usize) -> Changes {
-        let snapshot = since < self.forgotten || since > self.version;
+    pub fn changes(&self, since: u64, max_rows: usize) -> Changes {
+        let snapshot = since < self.pruned_version || since > self.version;
         let since = if snapshot { 0 } else { since };
         let changed = self.rows.iter().filter(|row| row.changed > since);
         let mut changed = changed.collect::<Vec<_>>();
         changed.sort_unstable_by_key(|row| row.changed);
-        let complete = changed.len() <= most;
-        changed.truncate(most);
+        let complete = changed.len() <= max_rows;
+        changed.truncate(max_rows);
         let version = match changed.last() {
             Some(last) if !complete => last.changed,
             _ => self.version,
@@ -114,22 +114,22 @@
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        let forgotten = &mut self.forgotten;
+    fn prune(&mut self, now: Time) {
+        let pruned_version = &mut self.pruned_version;
         self.rows.retain(|row| {
-            let kept = row.load != Load::default() || now.since(row.at) <= KEPT;
-            if !kept {
-                *forgotten = (*forgotten).max(row.changed);
+            let keep = row.load != Load::default() || now.since(row.at) <= EMPTY_ROW_RETENTION;
+            if !keep {
+                *pruned_version = (*pruned_version).max(row.changed);
             }
-            kept
+            keep
         });
     }
 }
 
 fn differs(one: Load, other: Load) -> bool {
     one.requests != other.requests
-        || one.tokens.abs_diff(other.tokens) >= TOKENS
-        || one.prefill_tokens.abs_diff(other.prefill_tokens) >= READING
-        || one.copies.abs_diff(other.copies) >= TOKENS
+        || one.tokens.abs_diff(other.tokens) >= MIN_CHANGE_TOKENS
+        || one.prefill_tokens.abs_diff(other.prefill_tokens) >= MIN_CHANGE_PREFILL_TOKENS
+        || one.copies.abs_diff(other.copies) >= MIN_CHANGE_TOKENS
         || (one == Load::default()) != (other == Load::default())
 }
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -1,7 +1,7 @@
 //! What a member holds of its aggregators' sums.
 
 use {
-    super::{at, domains::speaks_for_enough, members::Rank, set, table::Changes},
+    super::{row_load, domains::covers_enough_members, members::Rank, set_row, table::Changes},
     crate::{endpoint::Load, load::Report, prelude::*},
     std::collections::VecDeque,
 };
@@ -9,14 +9,14 @@
 /// Age up to which the rows of an aggregator are used, counted from the report that it
 /// answers. A message may have waited in a buffer through a freeze, so its arrival says
 /// nothing.
-pub const FRESH: Duration = Duration::from_millis(1200);
+pub const MAX_ROW_AGE: Duration = Duration::from_millis(1200);
 
 /// Time without an answer after which rows are asked of the next aggregator; two answers
 /// fit into it, and what is held stays in use meanwhile.
-const SUSPECT: Duration = Duration::from_millis(600);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Reports that are kept until they are answered.
-const REPORTS: usize = 16;
+const MAX_PENDING_REPORTS: usize = 16;
 
 /// An aggregator's answer to a report.
 #[derive(Clone, Debug, Default)]
@@ -36,7 +36,7 @@
 struct View {
     aggregator: String,
     /// When the report was sent that was answered last.
-    asked: Time,
+    reported_at: Time,
     incarnation: u64,
     members: u32,
     /// What this instance reported itself, which the rows count.
@@ -44,14 +44,14 @@
     rank: Rank,
     /// Sorted by digest.
     rows: Report,
-    /// The same as [`Self::asked`] for the last answer with rows.
-    rows_asked: Option<Time>,
+    /// The same as [`Self::reported_at`] for the last answer with rows.
+    rows_reported_at: Option<Time>,
     version: u64,
 }
 
 impl View {
     /// Takes changed rows in; those of an answer that was overtaken change nothing.
-    fn take(&mut self, changes: Changes) {
+    fn apply(&mut self, changes: Changes) {
         if changes.version < self.version {
             return;
         }
@@ -60,13 +60,13 @@
         }
         self.version = changes.version;
         for (digest, load) in changes.rows {
-            set(&mut self.rows, digest, load);
+            set_row(&mut self.rows, digest, load);
         }
     }
 
     fn is_fresh(&self, now: Time) -> bool {
-        self.rows_asked
-            .is_some_and(|asked| now.since(asked) <= FRESH)
+        self.rows_reported_at
+            .is_some_and(|reported_at| now.since(reported_at) <= MAX_ROW_AGE)
     }
 }
 
@@ -83,7 +83,7 @@
     /// A report is sent; its number is the time of the sending in microseconds.
     pub fn record_report(&mut self, number: u64, mut rows: Report) {
         rows.sort_unstable_by_key(|(digest, _)| *digest);
-        if self.reports.len() >= REPORTS {
+        if self.reports.len() >= MAX_PENDING_REPORTS {
             self.reports.pop_front();
         }
         self.reports.push_back((number, rows));
@@ -99,7 +99,7 @@
         else {
             return false;
         };
-        let (asked, own) = (Time::from_micros(*number), own.clone());
+        let (reported_at, own) = (Time::from_micros(*number), own.clone());
         let found = self
             .views
             .iter()
@@ -108,13 +108,13 @@
             let found = self.views.partition_point(|view| view.rank < rank);
             let view = View {
                 aggregator: aggregator.to_string(),
-                asked,
+                reported_at,
                 incarnation: answer.incarnation,
                 members: 0,
                 own: Vec::new(),
                 rank,
                 rows: Vec::new(),
-                rows_asked: None,
+                rows_reported_at: None,
                 version: 0,
             };
             self.views.insert(found, view);
@@ -124,17 +124,17 @@
         if view.incarnation != answer.incarnation {
             view.incarnation = answer.incarnation;
             view.rows.clear();
-            view.rows_asked = None;
+            view.rows_reported_at = None;
             view.version = 0;
-        } else if view.asked > asked {
+        } else if view.reported_at > reported_at {
             return false;
         }
-        view.asked = asked;
+        view.reported_at = reported_at;
         view.members = answer.members;
         if let Some(changes) = answer.changes {
             view.own = own;
-            view.rows_asked = Some(asked);
-            view.take(changes);
+            view.rows_reported_at = Some(reported_at);
+            view.apply(changes);
         }
         true
     }
@@ -151,17 +151,17 @@
     /// speaks for far fewer members than another.
     #[must_use]
     pub fn preferred(&self, now: Time) -> Option<&str> {
-        first(
+        first_by_rank(
             self.views
                 .iter()
-                .filter(|view| now.since(view.asked) <= SUSPECT),
+                .filter(|view| now.since(view.reported_at) <= ANSWER_TIMEOUT),
         )
     }
 
     /// The aggregator whose rows are used.
     #[must_use]
     pub fn best(&self, now: Time) -> Option<&str> {
-        first(self.views.iter().filter(|view| view.is_fresh(now)))
+        first_by_rank(self.views.iter().filter(|view| view.is_fresh(now)))
     }
 
     /// Whether rows of at most an age are held, or nobody answers who could send newer ones.
@@ -170,7 +170,7 @@
         let preferred = self.preferred(now);
         let mut views = self.views.iter();
         let view = views.find(|view| Some(view.aggregator.as_str()) == preferred);
-        view.is_none_or(|view| view.rows_asked.is_some_and(|asked| now.since(asked) <= age))
+        view.is_none_or(|view| view.rows_reported_at.is_some_and(|reported_at| now.since(reported_at) <= age))
     }
 
     /// Age of an aggregator's rows.
@@ -178,7 +178,7 @@
     pub fn age(&self, now: Time, aggregator: &str) -> Option<Duration> {
         let mut views = self.views.iter();
         let view = views.find(|view| view.aggregator == aggregator)?;
-        Some(now.since(view.rows_asked?))
+        Some(now.since(view.rows_reported_at?))
     }
 
     /// Load of all other instances at an endpoint by the word of an aggregator.
@@ -188,8 +188,8 @@
         let Some(view) = views.find(|view| view.aggregator == aggregator) else {
             return Load::default();
         };
-        let mut load = at(&view.rows, digest);
-        load.subtract(at(&view.own, digest));
+        let mut load = row_load(&view.rows, digest);
+        load.subtract(row_load(&view.own, digest));
         load
     }
 
@@ -199,9 +199,9 @@
     }
 }
 
-fn first<'a>(views: impl Iterator<Item = &'a View> + Clone) -> Option<&'a str> {
-    let most = views.clone().map(|view| view.members).max()?;
+fn first_by_rank<'a>(views: impl Iterator<Item = &'a View> + Clone) -> Option<&'a str> {
+    let max_members = views.clone().map(|view| view.members).max()?;
     let mut views = views;
-    let first = views.find(|view| speaks_for_enough(view.members, most));
+    let first = views.find(|view| covers_enough_members(view.members, max_members));
     first.map(|view| view.aggregator.as_str())
 }
--- a/crates/forward/src/budget.rs
+++ b/crates/forward/src/budget.rs
@@ -15,9 +15,9 @@
 
 /// First and second sends of one service within the window.
 #[derive(Debug, Default)]
-struct Ledger {
-    first: VecDeque<Time>,
-    second: VecDeque<Time>,
+struct SendHistory {
+    requests: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 /// The part of the joint budget that this instance may use, for each service.
@@ -27,7 +27,7 @@
     burst: f64,
     /// Instances that the burst is divided by.
     instances: u32,
-    ledgers: Vec<(String, Ledger)>,
+    histories: Vec<(String, SendHistory)>,
     ratio: f64,
     window: Duration,
 }
@@ -39,7 +39,7 @@
         let mut budget = Self {
             burst: 0.0,
             instances: settings.max_instances.max(1),
-            ledgers: Vec::new(),
+            histories: Vec::new(),
             ratio: 0.0,
             window: Duration::ZERO,
         };
@@ -55,60 +55,60 @@
     }
 
     /// Divides the burst by this many instances from now on.
-    pub const fn divide_by(&mut self, instances: u32) {
+    pub const fn set_instances(&mut self, instances: u32) {
         self.instances = instances;
     }
 
     /// A request for the service arrived.
     pub fn record_request(&mut self, service: &str, now: Time) {
-        self.ledger(service, now).first.push_back(now);
+        self.history(service, now).requests.push_back(now);
     }
 
     /// Whether a second send is allowed.
     pub fn allows_retry(&mut self, service: &str, now: Time) -> bool {
         let (burst, ratio) = (self.burst / f64::from(self.instances), self.ratio);
-        let ledger = self.ledger(service, now);
-        let (first, second) = (ledger.first.len(), ledger.second.len());
+        let history = self.history(service, now);
+        let (requests, retries) = (history.requests.len(), history.retries.len());
         #[expect(
             clippy::cast_precision_loss,
             reason = "counts of a ten-second window are far below 2^52"
         )]
-        let (first, second) = (first as f64, second as f64);
-        second < (first * ratio + burst).floor()
+        let (requests, retries) = (requests as f64, retries as f64);
+        retries < (requests * ratio + burst).floor()
     }
 
     /// A second send was made.
     pub fn record_retry(&mut self, service: &str, now: Time) {
-        self.ledger(service, now).second.push_back(now);
+        self.history(service, now).retries.push_back(now);
     }
 
     /// The last second send did not reach the endpoint after all.
     pub fn refund_retry(&mut self, service: &str, now: Time) {
-        self.ledger(service, now).second.pop_back();
+        self.history(service, now).retries.pop_back();
     }
 
-    fn ledger(&mut self, service: &str, now: Time) -> &mut Ledger {
+    fn history(&mut self, service: &str, now: Time) -> &mut SendHistory {
         let since = now.before(self.window);
-        let place = match self
-            .ledgers
+        let index = match self
+            .histories
             .binary_search_by(|(name, _)| name.as_str().cmp(service))
         {
-            Ok(place) => place,
-            Err(place) => {
-                self.ledgers
-                    .insert(place, (service.to_string(), Ledger::default()));
-                place
+            Ok(index) => index,
+            Err(index) => {
+                self.histories
+                    .insert(index, (service.to_string(), SendHistory::default()));
+                index
             }
         };
-        let ledger = &mut self.ledgers[place].1;
-        drop_before(&mut ledger.first, since);
-        drop_before(&mut ledger.second, since);
-        ledger
+        let history = &mut self.histories[index].1;
+        drop_expired(&mut history.requests, since);
+        drop_expired(&mut history.retries, since);
+        history
     }
 }
 
 /// Forgets what lies before the window.
-fn drop_before(times: &mut VecDeque<Time>, since: Time) {
+fn drop_expired(times: &mut VecDeque<Time>, since: Time) {
     while times.front().is_some_and(|time| *time < since) {
         times.pop_front();
     }
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -3,73 +3,73 @@
 //! Costs are in milliseconds of waiting, so that they can be added up.
 
 use {
-    crate::{endpoint::Load, prelude::*, run::memory, state::State},
+    crate::{endpoint::Load, prelude::*, run::kv_demand, state::State},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
     slotmap::{Key as _, SecondaryMap},
 };
 
 /// Part of the KV memory that is filled by prediction; the rest is for runs that turn
 /// out longer than expected.
-const FILL: f64 = 0.92;
+const MAX_KV_FILL: f64 = 0.92;
 
 /// Part of the KV memory up to which copies are placed; memory above it is for runs.
-const COPY_FILL: f64 = 0.75;
+const MAX_COPY_KV_FILL: f64 = 0.75;
 
 /// Part of the KV memory of all engines that runs may need while copies are made. Beyond it
 /// copies take the room of runs: new prompts meet at the few engines that have some left,
 /// and runs are preempted, while runs of an engine that leaves are moved within its notice
 /// all the same.
-const RUNS_FILL: f64 = 0.65;
+const MAX_RUN_KV_FILL: f64 = 0.65;
 
 /// Output tokens from which on a copy is made. A shorter run lives a fraction of a second
 /// after its prompt is read, in which an engine is hardly ever lost, while the copy would
 /// take the links from longer ones.
-const COPY_FROM: u32 = 100;
+const MIN_COPY_OUTPUT_TOKENS: u32 = 100;
 
 /// Prompt tokens that an engine reads in a millisecond beside the runs that it has; about
 /// half of what it reads alone.
-pub(crate) const READ_RATE: f64 = 7.0;
+pub(crate) const PREFILL_TOKENS_PER_MS: f64 = 7.0;
 
 /// Longest time that a token usually takes, at an engine with many requests.
-pub(crate) const TOKEN_TIME: Duration = Duration::from_millis(11);
+pub(crate) const MAX_TOKEN_TIME: Duration = Duration::from_millis(11);
 
 /// What one more running request costs the others, in milliseconds of waiting: it lengthens
 /// each of their steps.
-const RUN_COST: f64 = 6.0;
+const RUN_COST_MS: f64 = 6.0;
 
 /// Milliseconds of waiting that are borne to stay in the own failure domain. Work there
 /// survives a partition between domains, and bytes between domains are dear. Less than the
 /// time that a prompt takes to be read, so that engines of the own domain that read one are
 /// left for idle ones elsewhere.
-const DOMAIN_COST: f64 = 150.0;
+const CROSS_DOMAIN_COST_MS: f64 = 150.0;
 
 /// Milliseconds of waiting that it is worth to have a copy in another failure domain than
 /// the run itself: all engines of a domain are at times lost at once.
-const SHARED_FATE_COST: f64 = 100.0;
+const SAME_DOMAIN_COPY_COST_MS: f64 = 100.0;
 
 /// Milliseconds of waiting that it is worth to move a run within the failure domain of its
 /// engine: between domains the copy takes twice as long, and an engine that leaves often
 /// has no time for more than a few.
-const FAR_COPY_COST: f64 = 150.0;
+const CROSS_DOMAIN_MOVE_COST_MS: f64 = 150.0;
 
 /// Shortest time that an engine works on after its leaving became known.
-const NOTICE: Duration = Duration::from_millis(900);
+const MIN_LEAVE_NOTICE: Duration = Duration::from_millis(900);
 
 /// Milliseconds of waiting that a full memory is worth avoiding.
-const MEMORY_COST: f64 = 150.0;
+const FULL_MEMORY_COST_MS: f64 = 150.0;
 
 /// Milliseconds of waiting that a plain endpoint's running request costs.
-const PLAIN_COST: f64 = 30.0;
+const PLAIN_REQUEST_COST_MS: f64 = 30.0;
 
 /// Milliseconds of waiting at which an endpoint that fails every request is rated.
-const FAILING_COST: f64 = 400.0;
+const FAILURE_COST_MS: f64 = 400.0;
 
 /// Milliseconds of waiting up to which a choice among many instances is left to a draw.
 ///
 /// Instances that choose while word of each other's choices is on its way would all take the
 /// emptiest engine, and its prompts would be read one after the other. Less than the time
 /// that a prompt takes to read, so that an engine which reads none is still taken first.
-const SPREAD_COST: f64 = 200.0;
+const MAX_JITTER_MS: f64 = 200.0;
 
 /// What a request is expected to need, in tokens; zero for plain requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -82,7 +82,7 @@
 
 impl Need {
     fn tokens(self) -> u32 {
-        memory(self.prompt, self.output)
+        kv_demand(self.prompt, self.output)
     }
 }
 
@@ -97,20 +97,20 @@
 
 /// A draw that sets instances apart which would all choose the same endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Draw {
+struct Jitter {
     seed: u64,
     /// Most that is added to a cost, in milliseconds of waiting.
-    spread: f64,
+    max_ms: f64,
 }
 
-impl Draw {
+impl Jitter {
     /// What is added to the cost of an endpoint; the same one throughout a choice.
     fn cost(self, key: EndpointKey) -> f64 {
-        if self.spread <= 0.0 {
+        if self.max_ms <= 0.0 {
             return 0.0;
         }
         let mut random = SmallRng::seed_from_u64(self.seed ^ key.data().as_ffi());
-        random.random_range(0.0..self.spread)
+        random.random_range(0.0..self.max_ms)
     }
 }
 
@@ -118,12 +118,12 @@
     /// Chooses an endpoint for a request, and an engine for its copy.
     #[must_use]
     pub fn pick(&mut self, now: Time, service: &str, need: Need, tried: &[EndpointKey]) -> Pick {
-        let draw = self.draw();
+        let jitter = self.jitter();
         let Some(service) = self.service(service) else {
             return Pick::Wait;
         };
         let loads = self.loads();
-        match self.cheapest(now, service, need.tokens(), tried, &loads, draw) {
+        match self.cheapest(now, service, need.tokens(), tried, &loads, jitter) {
             None => Pick::Wait,
             Some(key) => {
                 let (tokens, output) = (need.tokens(), need.output);
@@ -141,7 +141,7 @@
         run: RunKey,
         tried: &[EndpointKey],
     ) -> Option<EndpointKey> {
-        let draw = self.draw();
+        let jitter = self.jitter();
         let run = self.runs.get(run)?;
         let service = self.service(&run.service)?;
         let mut skip = tried.to_vec();
@@ -152,10 +152,10 @@
             if !self.eligible(now, endpoint, service) {
                 return None;
             }
-            let far = endpoint.listing.domain != source.listing.domain;
+            let cross_domain = endpoint.listing.domain != source.listing.domain;
             let cost = self.cost(key, endpoint, service, run.need(), &loads)?;
-            let far = if far { FAR_COPY_COST } else { 0.0 };
-            Some(cost + far + draw.cost(key))
+            let cross_domain = if cross_domain { CROSS_DOMAIN_MOVE_COST_MS } else { 0.0 };
+            Some(cost + cross_domain + jitter.cost(key))
         })
     }
 
@@ -178,7 +178,7 @@
     #[must_use]
     pub fn ends_soon(&self, run: RunKey) -> bool {
         let run = self.runs.get(run);
-        run.is_some_and(|run| TOKEN_TIME.saturating_mul(run.most_left()) < NOTICE)
+        run.is_some_and(|run| MAX_TOKEN_TIME.saturating_mul(run.max_remaining()) < MIN_LEAVE_NOTICE)
     }
 
     /// The endpoint with room that costs the least.
@@ -189,27 +189,27 @@
         need: u32,
         skip: &[EndpointKey],
         loads: &SecondaryMap<EndpointKey, Load>,
-        draw: Draw,
+        jitter: Jitter,
     ) -> Option<EndpointKey> {
         self.cheapest_by(skip, |key, endpoint| {
             if !self.eligible(now, endpoint, service) {
                 return None;
             }
             let cost = self.cost(key, endpoint, service, need, loads)?;
-            Some(cost + draw.cost(key))
+            Some(cost + jitter.cost(key))
         })
     }
 
     /// What is added to each endpoint's cost in one choice; nothing among few instances.
-    fn draw(&mut self) -> Draw {
-        let spread = if self.members.are_many() {
-            SPREAD_COST
+    fn jitter(&mut self) -> Jitter {
+        let max_ms = if self.members.is_aggregated() {
+            MAX_JITTER_MS
         } else {
             0.0
         };
-        Draw {
+        Jitter {
             seed: self.random.random(),
-            spread,
+            max_ms,
         }
     }
 
@@ -227,7 +227,7 @@
             let Some(cost) = cost(key, endpoint) else {
                 continue;
             };
-            if best.is_none_or(|(least, _)| cost < least) {
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, key));
             }
         }
@@ -243,30 +243,30 @@
         source: EndpointKey,
         loads: &SecondaryMap<EndpointKey, Load>,
     ) -> Option<EndpointKey> {
-        if output < COPY_FROM {
+        if output < MIN_COPY_OUTPUT_TOKENS {
             return None;
         }
         let engine = service.engine.filter(|engine| engine.backups)?;
-        if self.runs_fill(now, service, engine, loads) > RUNS_FILL {
+        if self.run_fill(now, service, engine, loads) > MAX_RUN_KV_FILL {
             return None;
         }
-        let most = f64::from(engine.kv_tokens) * COPY_FILL;
+        let max_tokens = f64::from(engine.kv_tokens) * MAX_COPY_KV_FILL;
         let source_domain = self.endpoints.get(source);
         let source_domain = source_domain.map(|endpoint| endpoint.listing.domain.as_str());
         self.cheapest_by(&[source], |key, endpoint| {
             let usable = endpoint.listing.service == service.name
                 && endpoint.usable(now)
-                && !self.is_out(&endpoint.listing.domain);
+                && !self.is_disabled(&endpoint.listing.domain);
             let load = self.load(key, endpoint, loads);
             let tokens = f64::from(load.tokens.saturating_add(need));
-            let shared = source_domain == Some(endpoint.listing.domain.as_str());
-            let cost = tokens / most * MEMORY_COST + if shared { SHARED_FATE_COST } else { 0.0 };
-            (usable && tokens <= most).then_some(cost)
+            let same_domain = source_domain == Some(endpoint.listing.domain.as_str());
+            let cost = tokens / max_tokens * FULL_MEMORY_COST_MS + if same_domain { SAME_DOMAIN_COPY_COST_MS } else { 0.0 };
+            (usable && tokens <= max_tokens).then_some(cost)
         })
     }
 
     /// Part of the KV memory of a service's usable engines that runs need, without copies.
-    fn runs_fill(
+    fn run_fill(
         &self,
         now: Time,
         service: &Service,
@@ -276,37 +276,37 @@
         let usable = self.endpoints.iter().filter(|(_, endpoint)| {
             endpoint.listing.service == service.name
                 && endpoint.usable(now)
-                && !self.is_out(&endpoint.listing.domain)
+                && !self.is_disabled(&endpoint.listing.domain)
         });
-        let (mut room, mut needed) = (0.0, 0.0);
+        let (mut capacity, mut used) = (0.0, 0.0);
         for (key, endpoint) in usable {
             let load = self.load(key, endpoint, loads);
-            room += f64::from(engine.kv_tokens);
-            needed += f64::from(load.tokens.saturating_sub(load.copies));
+            capacity += f64::from(engine.kv_tokens);
+            used += f64::from(load.tokens.saturating_sub(load.copies));
         }
-        if room > 0.0 { needed / room } else { 1.0 }
+        if capacity > 0.0 { used / capacity } else { 1.0 }
     }
 
     fn eligible(&self, now: Time, endpoint: &Endpoint, service: &Service) -> bool {
         endpoint.listing.service == service.name
             && endpoint.usable(now)
-            && !self.is_out(&endpoint.listing.domain)
-            && endpoint.rate_limiter.allows(now, self.pace_part(service))
+            && !self.is_disabled(&endpoint.listing.domain)
+            && endpoint.rate_limiter.allows(now, self.send_quota(service))
     }
 
     /// Sends a second to one endpoint of a service that this instance may make.
-    fn pace_part(&self, service: &Service) -> usize {
+    fn send_quota(&self, service: &Service) -> usize {
         if service.cold_rate <= 0.0 {
             return usize::MAX;
         }
-        let part = service.cold_rate / f64::from(self.instances);
+        let quota = service.cold_rate / f64::from(self.instances);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a rate of requests a second is small and positive here"
         )]
-        let part = part.floor() as usize;
-        part.max(1)
+        let quota = quota.floor() as usize;
+        quota.max(1)
     }
 
     /// Cost of sending there in milliseconds of waiting; `None` if it has no room.
@@ -319,23 +319,23 @@
         loads: &SecondaryMap<EndpointKey, Load>,
     ) -> Option<f64> {
         let load = self.load(key, endpoint, loads);
-        let common = self.domain_cost(endpoint) + endpoint.failing * FAILING_COST;
+        let common = self.domain_cost(endpoint) + endpoint.failure_rate * FAILURE_COST_MS;
         let Some(engine) = service.engine else {
-            let room = endpoint.listing.slots.max(1);
-            let busy = f64::from(load.requests) / f64::from(room);
-            return (load.requests < room)
-                .then_some(common + f64::from(load.requests) * PLAIN_COST + busy);
+            let capacity = endpoint.listing.slots.max(1);
+            let busy = f64::from(load.requests) / f64::from(capacity);
+            return (load.requests < capacity)
+                .then_some(common + f64::from(load.requests) * PLAIN_REQUEST_COST_MS + busy);
         };
-        let room = f64::from(engine.kv_tokens) * FILL;
+        let capacity = f64::from(engine.kv_tokens) * MAX_KV_FILL;
         let tokens = f64::from(load.tokens.saturating_add(need));
-        if load.requests >= engine.slots || tokens > room {
+        if load.requests >= engine.slots || tokens > capacity {
             return None;
         }
         Some(
             common
-                + f64::from(load.prefill_tokens) / READ_RATE
-                + f64::from(load.requests) * RUN_COST
-                + tokens / room * MEMORY_COST,
+                + f64::from(load.prefill_tokens) / PREFILL_TOKENS_PER_MS
+                + f64::from(load.requests) * RUN_COST_MS
+                + tokens / capacity * FULL_MEMORY_COST_MS,
         )
     }
 
@@ -343,7 +343,7 @@
         if endpoint.listing.domain == self.settings.domain {
             return 0.0;
         }
-        DOMAIN_COST
+        CROSS_DOMAIN_COST_MS
     }
 
     /// Load of one endpoint over all instances.
--- a/crates/forward/src/config.rs
+++ b/crates/forward/src/config.rs
@@ -149,8 +149,8 @@
         routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
         services.sort_by(|a, b| a.name.cmp(&b.name));
         let mut keys = Vec::new();
-        for (place, customer) in customers.iter().enumerate() {
-            keys.extend(customer.keys.iter().map(|key| (key.clone(), place)));
+        for (index, customer) in customers.iter().enumerate() {
+            keys.extend(customer.keys.iter().map(|key| (key.clone(), index)));
         }
         keys.sort();
         Self {
@@ -166,16 +166,16 @@
     /// The customer that holds a key.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Customer> {
-        let place = self
+        let index = self
             .keys
             .binary_search_by(|(other, _)| other.as_str().cmp(key))
             .ok()?;
-        self.customers.get(self.keys[place].1)
+        self.customers.get(self.keys[index].1)
     }
 
     /// Whether requests need keys at all.
     #[must_use]
-    pub fn keyed(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
@@ -188,8 +188,8 @@
             let found = self.routes.binary_search_by(|route| {
                 (route.host.as_str(), route.prefix.as_str()).cmp(&(host, prefix))
             });
-            if let Ok(place) = found {
-                return self.routes.get(place);
+            if let Ok(index) = found {
+                return self.routes.get(index);
             }
             end = slash;
         }
@@ -205,10 +205,10 @@
     /// A service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let place = self
+        let index = self
             .services
             .binary_search_by(|service| service.name.as_str().cmp(name))
             .ok()?;
-        self.services.get(place)
+        self.services.get(index)
     }
 }
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -6,16 +6,16 @@
 ///
 /// An engine that is replaced is back after some seconds, and a reset connection says
 /// nothing about the next one, so the pause starts short and doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Longest pause before an unreachable endpoint is tried again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Pause after an endpoint said that it is full; about the time in which a place frees up.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
 /// Weight of one answer in the running share of failures; about the last ten count.
-const FAILURE_STEP: f64 = 0.1;
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
 
 /// An endpoint as it registered itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,15 +73,15 @@
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// From when on it may be asked whether it leaves.
-    pub(crate) ask_from: Time,
+    pub(crate) next_probe_at: Time,
     avoid_until: Time,
     /// Digest of its id, by which reports name it.
     pub digest: u32,
     /// Until when a lapsed entry may still come back; the endpoint stays usable until then.
-    pub doubt_until: Option<Time>,
+    pub grace_until: Option<Time>,
     failures: u32,
     /// Running share of answers that were failures, 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Plain requests of this instance in progress there.
     pub in_flight: u32,
     /// Its entry, as last read.
@@ -97,12 +97,12 @@
     #[must_use]
     pub fn new(listing: Listing, now: Time) -> Self {
         Self {
-            ask_from: Time::default(),
+            next_probe_at: Time::default(),
             avoid_until: Time::default(),
             digest: digest(&listing.id),
-            doubt_until: None,
+            grace_until: None,
             failures: 0,
-            failing: 0.0,
+            failure_rate: 0.0,
             in_flight: 0,
             leaving_since: listing.leaving.then_some(now),
             listing,
@@ -115,9 +115,9 @@
         if listing.started_at != self.listing.started_at || listing.address != self.listing.address {
             self.avoid_until = Time::default();
             self.failures = 0;
-            self.failing = 0.0;
+            self.failure_rate = 0.0;
         }
-        self.doubt_until = None;
+        self.grace_until = None;
         match (listing.leaving, self.leaving_since) {
             (true, None) => self.leaving_since = Some(now),
             (false, _) => self.leaving_since = None,
@@ -140,18 +140,18 @@
     /// It answered, well or with a failure of its own.
     pub fn record_answer(&mut self, failed: bool) {
         self.failures = 0;
-        self.failing += FAILURE_STEP * (f64::from(u8::from(failed)) - self.failing);
+        self.failure_rate += FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
     /// It said that it is full.
     pub fn mark_full(&mut self, now: Time) {
-        self.avoid_until = self.avoid_until.max(now.after(FULL_PAUSE));
+        self.avoid_until = self.avoid_until.max(now.after(FULL_BACKOFF));
     }
 
     /// It could not be reached, fell silent, or is another one than expected.
     pub fn mark_unreachable(&mut self, now: Time) {
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
-        self.avoid_until = self.avoid_until.max(now.after(pause.min(LONGEST_PAUSE)));
+        self.avoid_until = self.avoid_until.max(now.after(backoff.min(MAX_BACKOFF)));
     }
 }
--- a/crates/forward/src/load.rs
+++ b/crates/forward/src/load.rs
@@ -7,7 +7,7 @@
 
 /// After this long without a word, a fellow's load no longer counts. Several exchanges
 /// fit into it, and what it had in progress then is mostly done.
-const LIFE: Duration = Duration::from_secs(2);
+const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Load that one instance has at endpoints, sorted by the digest of the endpoint's id.
 pub type Report = Vec<(u32, Load)>;
@@ -23,11 +23,11 @@
 
 /// What one fellow reported last.
 #[derive(Debug)]
-struct Heard {
+struct PeerReport {
     at: Time,
     name: String,
     number: u64,
-    /// Empty once it has outlived [`LIFE`].
+    /// Empty once it has outlived [`REPORT_LIFETIME`].
     report: Report,
 }
 
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     /// Sorted by name.
-    heard: Vec<Heard>,
+    reports: Vec<PeerReport>,
     /// Sum of all reports, sorted by digest.
     sums: Report,
 }
@@ -48,49 +48,49 @@
     /// nothing.
     pub fn update(&mut self, name: &str, at: Time, number: u64, mut report: Report) {
         report.sort_by_key(|(digest, _)| *digest);
-        let place = match self
-            .heard
+        let index = match self
+            .reports
             .binary_search_by(|other| other.name.as_str().cmp(name))
         {
-            Ok(place) if self.heard[place].number >= number => return,
-            Ok(place) => place,
-            Err(place) => {
-                let heard = Heard {
+            Ok(index) if self.reports[index].number >= number => return,
+            Ok(index) => index,
+            Err(index) => {
+                let peer = PeerReport {
                     at,
                     name: name.to_string(),
                     number,
                     report: Vec::new(),
                 };
-                self.heard.insert(place, heard);
-                place
+                self.reports.insert(index, peer);
+                index
             }
         };
-        let heard = &mut self.heard[place];
-        heard.at = at;
-        heard.number = number;
-        let old = std::mem::replace(&mut heard.report, report.clone());
+        let peer = &mut self.reports[index];
+        peer.at = at;
+        peer.number = number;
+        let old = std::mem::replace(&mut peer.report, report.clone());
         self.subtract(&old);
         self.add(&report);
     }
 
     /// A fellow has started anew; its reports are numbered from the start again.
     pub fn forget(&mut self, name: &str) {
-        let place = self
-            .heard
+        let index = self
+            .reports
             .binary_search_by(|other| other.name.as_str().cmp(name));
-        if let Ok(place) = place {
-            let heard = self.heard.remove(place);
-            self.subtract(&heard.report);
+        if let Ok(index) = index {
+            let peer = self.reports.remove(index);
+            self.subtract(&peer.report);
         }
     }
 
     /// What a fellow reported last.
     #[must_use]
     pub fn report(&self, name: &str) -> &[(u32, Load)] {
-        let place = self
-            .heard
+        let index = self
+            .reports
             .binary_search_by(|other| other.name.as_str().cmp(name));
-        place.map_or(&[], |place| self.heard[place].report.as_slice())
+        index.map_or(&[], |index| self.reports[index].report.as_slice())
     }
 
     /// Sum of all reports, sorted by digest.
@@ -102,46 +102,46 @@
     /// Load of all fellows at an endpoint.
     #[must_use]
     pub fn at(&self, digest: u32) -> Load {
-        let place = self.sums.binary_search_by_key(&digest, |(other, _)| *other);
-        place.map_or_else(|_| Load::default(), |place| self.sums[place].1)
+        let index = self.sums.binary_search_by_key(&digest, |(other, _)| *other);
+        index.map_or_else(|_| Load::default(), |index| self.sums[index].1)
     }
 
     /// Number of fellows heard of within the last two seconds.
     #[must_use]
     pub fn count(&self, now: Time) -> usize {
-        let alive = self
-            .heard
+        let current = self
+            .reports
             .iter()
-            .filter(|heard| now.since(heard.at) <= LIFE);
-        alive.count()
+            .filter(|peer| now.since(peer.at) <= REPORT_LIFETIME);
+        current.count()
     }
 
     /// Drops the load of fellows that have been silent for too long.
     pub fn expire(&mut self, now: Time) {
-        let mut outlived = Vec::new();
-        for heard in &mut self.heard {
-            if now.since(heard.at) > LIFE {
-                outlived.append(&mut heard.report);
+        let mut expired = Vec::new();
+        for peer in &mut self.reports {
+            if now.since(peer.at) > REPORT_LIFETIME {
+                expired.append(&mut peer.report);
             }
         }
-        self.subtract(&outlived);
+        self.subtract(&expired);
     }
 
     fn add(&mut self, report: &Report) {
         for (digest, load) in report {
             match self.sums.binary_search_by_key(digest, |(other, _)| *other) {
-                Ok(place) => self.sums[place].1.add(*load),
-                Err(place) => self.sums.insert(place, (*digest, *load)),
+                Ok(index) => self.sums[index].1.add(*load),
+                Err(index) => self.sums.insert(index, (*digest, *load)),
             }
         }
     }
 
     fn subtract(&mut self, report: &Report) {
         for (digest, load) in report {
-            if let Ok(place) = self.sums.binary_search_by_key(digest, |(other, _)| *other) {
-                self.sums[place].1.subtract(*load);
-                if self.sums[place].1 == Load::default() {
-                    self.sums.remove(place);
+            if let Ok(index) = self.sums.binary_search_by_key(digest, |(other, _)| *other) {
+                self.sums[index].1.subtract(*load);
+                if self.sums[index].1 == Load::default() {
+                    self.sums.remove(index);
                 }
             }
         }
--- a/crates/forward/src/outcome.rs
+++ b/crates/forward/src/outcome.rs
@@ -62,8 +62,8 @@
     #[must_use]
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::Full => Some(FULL_RETRY),
-            Self::Stale | Self::Stopping | Self::Unconfigured => Some(ELSEWHERE_RETRY),
+            Self::Full => Some(FULL_RETRY_AFTER),
+            Self::Stale | Self::Stopping | Self::Unconfigured => Some(OTHER_INSTANCE_RETRY_AFTER),
             Self::Bad
             | Self::BodyTooLarge
             | Self::Broken
@@ -77,8 +77,8 @@
 
 /// Pause before coming back when no endpoint has room. A generation's prompt takes
 /// about a quarter of a second to read, so a place frees up within a few of these.
-const FULL_RETRY: Duration = Duration::from_millis(400);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// Pause before coming back when this instance cannot serve but others can; the retry
 /// reaches another instance, so it need not be long.
-const ELSEWHERE_RETRY: Duration = Duration::from_millis(100);
+const OTHER_INSTANCE_RETRY_AFTER: Duration = Duration::from_millis(100);
--- a/crates/forward/src/rate_limit.rs
+++ b/crates/forward/src/rate_limit.rs
@@ -11,7 +11,7 @@
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Margin for sends that leave one after the other and arrive together.
-const SPREAD: Duration = Duration::from_millis(100);
+const ARRIVAL_JITTER: Duration = Duration::from_millis(100);
 
 /// Sends of the last second to one endpoint.
 #[derive(Clone, Debug, Default)]
@@ -20,17 +20,17 @@
 }
 
 impl RateLimiter {
-    /// Whether one more send stays within `most` a second.
+    /// Whether one more send stays within `max_sends` a second.
     #[must_use]
-    pub fn allows(&self, now: Time, most: usize) -> bool {
-        let since = now.before(WINDOW + SPREAD);
+    pub fn allows(&self, now: Time, max_sends: usize) -> bool {
+        let since = now.before(WINDOW + ARRIVAL_JITTER);
         let recent = self.sent.iter().rev().take_while(|sent| **sent > since);
-        recent.count() < most
+        recent.count() < max_sends
     }
 
     /// A request was sent.
     pub fn record_send(&mut self, now: Time) {
-        let since = now.before(WINDOW + SPREAD);
+        let since = now.before(WINDOW + ARRIVAL_JITTER);
         while self.sent.front().is_some_and(|sent| *sent <= since) {
             self.sent.pop_front();
         }
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -16,14 +16,14 @@
 pub const TOPICS: usize = 3;
 
 /// Time without a word after which a fellow is no longer counted on to read.
-const ALIVE: Duration = Duration::from_millis(1500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time that records may be on their way before they count as missed.
-const ON_THE_WAY: Duration = Duration::from_millis(120);
+const RELAY_DELAY: Duration = Duration::from_millis(120);
 
 /// The same where they come by way of aggregators, which send them again to a member that
 /// reports that it lacks them.
-const ON_THE_LONG_WAY: Duration = Duration::from_millis(500);
+const AGGREGATED_RELAY_DELAY: Duration = Duration::from_millis(500);
 
 /// What an instance says of its knowledge of one topic.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -73,7 +73,7 @@
 
 /// Time without a word after which an instance's entry is dropped. A partition lasts
 /// minutes as a rule; an hour costs two writes.
-const ENTRY_LIFE: Duration = Duration::from_mins(5);
+const ENTRY_TTL: Duration = Duration::from_mins(5);
 
 /// Why an instance reads a topic itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -123,47 +123,47 @@
 
 /// What one fellow said last.
 #[derive(Clone, Debug)]
-struct Heard {
+struct PeerStatus {
     /// When it last spoke as an aggregator.
-    aggregated: Option<Time>,
+    aggregated_at: Option<Time>,
     at: Time,
     name: String,
-    words: [Watermark; TOPICS],
+    watermarks: [Watermark; TOPICS],
 }
 
-impl Heard {
-    fn aggregates(&self, now: Time) -> bool {
-        self.aggregated.is_some_and(|at| now.since(at) <= ALIVE)
+impl PeerStatus {
+    fn is_aggregator(&self, now: Time) -> bool {
+        self.aggregated_at.is_some_and(|at| now.since(at) <= PEER_TIMEOUT)
     }
 }
 
 /// What all fellows said last.
 #[derive(Debug, Default)]
 pub struct Readers {
-    heard: Vec<Heard>,
+    peers: Vec<PeerStatus>,
     /// Since when a fellow has been known to be further, for each topic.
     behind_since: [Option<Time>; TOPICS],
 }
 
 impl Readers {
     /// Takes a fellow's words in.
-    pub fn update(&mut self, name: &str, at: Time, aggregates: bool, words: [Watermark; TOPICS]) {
-        let mut heard = Heard {
-            aggregated: aggregates.then_some(at),
+    pub fn update(&mut self, name: &str, at: Time, is_aggregator: bool, watermarks: [Watermark; TOPICS]) {
+        let mut peer = PeerStatus {
+            aggregated_at: is_aggregator.then_some(at),
             at,
             name: name.to_string(),
-            words,
+            watermarks,
         };
         match self
-            .heard
+            .peers
             .binary_search_by(|other| other.name.as_str().cmp(name))
         {
-            Ok(place) => {
+            Ok(index) => {
                 // An aggregator also reports to the other one of its domain.
-                heard.aggregated = heard.aggregated.or(self.heard[place].aggregated);
-                self.heard[place] = heard;
+                peer.aggregated_at = peer.aggregated_at.or(self.peers[index].aggregated_at);
+                self.peers[index] = peer;
             }
-            Err(place) => self.heard.insert(place, heard),
+            Err(index) => self.peers.insert(index, peer),
         }
     }
 
@@ -180,11 +180,11 @@
         if !own.freshness.within(now, own.max_age) {
             return Some(Cause::Old);
         }
-        let on_the_way = match own.role {
-            Role::Mesh => ON_THE_WAY,
-            Role::Aggregator | Role::Member => ON_THE_LONG_WAY,
+        let max_delay = match own.role {
+            Role::Mesh => RELAY_DELAY,
+            Role::Aggregator | Role::Member => AGGREGATED_RELAY_DELAY,
         };
-        self.misses(own.topic, own.position, now, on_the_way)
+        self.is_missing_records(own.topic, own.position, now, max_delay)
             .then_some(Cause::Missing)
     }
 
@@ -199,21 +199,21 @@
         if own.role == Role::Member {
             return false;
         }
-        let rivals = self.heard.iter().filter(|heard| {
-            now.since(heard.at) <= ALIVE && (own.role == Role::Mesh || heard.aggregates(now))
+        let candidates = self.peers.iter().filter(|peer| {
+            now.since(peer.at) <= PEER_TIMEOUT && (own.role == Role::Mesh || peer.is_aggregator(now))
         });
-        let follows = |heard: &&Heard| {
-            heard.words[own.topic]
+        let is_current = |peer: &&PeerStatus| {
+            peer.watermarks[own.topic]
                 .age
                 .is_some_and(|age| age <= own.max_age)
         };
-        let rank_of = |heard: &Heard| rank(&heard.name, own.topic);
-        let first = rivals.clone().filter(follows).map(rank_of).min();
+        let rank_of = |peer: &PeerStatus| rank(&peer.name, own.topic);
+        let first_rank = candidates.clone().filter(is_current).map(rank_of).min();
         let own_rank = rank(own.name, own.topic);
-        match first {
+        match first_rank {
             // A fellow that has lost the store itself is no help, nor is this instance.
-            Some(first) => own_rank < first && own.freshness.within(now, own.max_age),
-            None => rivals.map(rank_of).all(|other| own_rank < other),
+            Some(first_rank) => own_rank < first_rank && own.freshness.within(now, own.max_age),
+            None => candidates.map(rank_of).all(|other| own_rank < other),
         }
     }
 
@@ -237,44 +237,44 @@
     /// partition finds its entry gone and writes it again.
     #[must_use]
     pub fn is_dead(&self, name: &str, listed: Time, now: Time) -> bool {
-        let place = self
-            .heard
+        let index = self
+            .peers
             .binary_search_by(|other| other.name.as_str().cmp(name));
-        let heard = place.map_or(listed, |place| self.heard[place].at.max(listed));
-        now.since(heard) > ENTRY_LIFE
+        let last_seen = index.map_or(listed, |index| self.peers[index].at.max(listed));
+        now.since(last_seen) > ENTRY_TTL
     }
 
     /// Forgets a fellow whose entry is gone.
     pub fn forget(&mut self, name: &str) {
-        self.heard.retain(|heard| heard.name != name);
+        self.peers.retain(|peer| peer.name != name);
     }
 
     /// Whether no fellow was heard of late.
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
-        !self.heard.iter().any(|heard| now.since(heard.at) <= ALIVE)
+        !self.peers.iter().any(|peer| now.since(peer.at) <= PEER_TIMEOUT)
     }
 
     /// Whether an aggregator was heard of late.
     #[must_use]
     pub fn has_aggregator(&self, now: Time) -> bool {
-        let mut heard = self.heard.iter();
-        heard.any(|heard| heard.aggregates(now))
+        let mut peers = self.peers.iter();
+        peers.any(|peer| peer.is_aggregator(now))
     }
 
     /// Whether records at `position` and beyond are known to a fellow and have not arrived
     /// here within the time that they may be on their way.
-    fn misses(&mut self, topic: usize, position: u64, now: Time, on_the_way: Duration) -> bool {
-        let further = self
-            .heard
+    fn is_missing_records(&mut self, topic: usize, position: u64, now: Time, max_delay: Duration) -> bool {
+        let peer_is_ahead = self
+            .peers
             .iter()
-            .any(|heard| now.since(heard.at) <= ALIVE && heard.words[topic].position > position);
-        if !further {
+            .any(|peer| now.since(peer.at) <= PEER_TIMEOUT && peer.watermarks[topic].position > position);
+        if !peer_is_ahead {
             self.behind_since[topic] = None;
             return false;
         }
         let since = *self.behind_since[topic].get_or_insert(now);
-        now.since(since) >= on_the_way
+        now.since(since) >= max_delay
     }
 }
 
--- a/crates/forward/src/request.rs
+++ b/crates/forward/src/request.rs
@@ -46,7 +46,7 @@
 
 /// Part of the time left after which a request that may run again is tried elsewhere: an
 /// endpoint that has not answered by then is more likely dark than slow.
-const TRY_SHARE: f64 = 0.45;
+const ATTEMPT_TIME_SHARE: f64 = 0.45;
 
 impl Ticket {
     /// Whether a request that may have run `runs` times may be sent once more.
@@ -59,11 +59,11 @@
     /// while another one may follow.
     #[must_use]
     pub fn attempt_timeout(&self, now: Time, runs: u32) -> Duration {
-        let left = self.expires.since(now);
+        let remaining = self.expires.since(now);
         if self.may_run_again(runs + 1) {
-            return left.mul_f64(TRY_SHARE);
+            return remaining.mul_f64(ATTEMPT_TIME_SHARE);
         }
-        left
+        remaining
     }
 
     /// The event that a caller resumes its stream behind. Only where streams can be resumed
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -7,17 +7,17 @@
 /// The runs of an engine end one after the other, and each gives its whole memory back,
 /// so together they never need what each of them needs at its end. Counted in full, room
 /// that is there is refused to prompts and to runs whose engine leaves.
-const GROWTH: f64 = 0.25;
+const GROWTH_SHARE: f64 = 0.25;
 
 /// KV memory to count for a run that holds `held` tokens and makes `remaining` more.
 #[must_use]
-pub fn memory(held: u32, remaining: u32) -> u32 {
+pub fn kv_demand(held: u32, remaining: u32) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a part of a count that fits"
     )]
-    let growth = (f64::from(remaining) * GROWTH) as u32;
+    let growth = (f64::from(remaining) * GROWTH_SHARE) as u32;
     held.saturating_add(growth)
 }
 
@@ -60,7 +60,7 @@
     /// KV memory to count for it, in tokens.
     #[must_use]
     pub fn need(&self) -> u32 {
-        memory(self.held(), self.remaining())
+        kv_demand(self.held(), self.remaining())
     }
 
     /// Output tokens still expected.
@@ -75,7 +75,7 @@
 
     /// Output tokens that it may still make by the caller's bound.
     #[must_use]
-    pub fn most_left(&self) -> u32 {
+    pub fn max_remaining(&self) -> u32 {
         self.max_output_tokens.saturating_sub(self.generated())
     }
 
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -16,10 +16,10 @@
 };
 
 /// A list read after this long without proof means that the store had been away.
-const STORE_AWAY: Duration = Duration::from_secs(3);
+const STORE_OUTAGE_THRESHOLD: Duration = Duration::from_secs(3);
 
 /// Time in which entries that lapsed while the store was away come back.
-const RETURN_TIME: Duration = Duration::from_secs(2);
+const REREGISTRATION_GRACE: Duration = Duration::from_secs(2);
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,12 +51,12 @@
     pub(crate) random: SmallRng,
     pub(crate) runs: SlotMap<RunKey, Run>,
     pub(crate) settings: Settings,
-    pub(crate) stops: Option<Time>,
-    store_back: Option<Time>,
+    pub(crate) stops_at: Option<Time>,
+    store_recovered_at: Option<Time>,
     /// Load of other instances, by sums.
     pub sums: Sums,
     waiting: Vec<QueuePosition>,
-    next_waiter: u64,
+    next_turn: u64,
 }
 
 /// Place in the queue of a service: the rank of a request, then its turn.
@@ -81,12 +81,12 @@
             instances: settings.max_instances.max(1),
             list_freshness: Freshness::default(),
             members: Members::default(),
-            next_waiter: 0,
+            next_turn: 0,
             random,
             runs: SlotMap::with_key(),
             settings,
-            stops: None,
-            store_back: None,
+            stops_at: None,
+            store_recovered_at: None,
             sums: Sums::default(),
             waiting: Vec::new(),
         }
@@ -108,7 +108,7 @@
         let published = u32::try_from(published).unwrap_or(u32::MAX);
         let instances = published.saturating_add(published.div_ceil(4));
         self.instances = instances.max(self.settings.max_instances.max(1));
-        self.budget.divide_by(self.instances);
+        self.budget.set_instances(self.instances);
     }
 
     /// Takes a configuration in unless it is older than the one in force.
@@ -131,14 +131,14 @@
     }
 
     /// Takes a failure domain out, or back in. Returns whether that changed anything.
-    pub fn set_domain(&mut self, domain: &str, out: bool) -> bool {
-        let place = self
+    pub fn set_domain(&mut self, domain: &str, disabled: bool) -> bool {
+        let index = self
             .disabled_domains
             .binary_search_by(|other| other.as_str().cmp(domain));
-        match (place, out) {
-            (Err(place), true) => self.disabled_domains.insert(place, domain.to_string()),
-            (Ok(place), false) => {
-                self.disabled_domains.remove(place);
+        match (index, disabled) {
+            (Err(index), true) => self.disabled_domains.insert(index, domain.to_string()),
+            (Ok(index), false) => {
+                self.disabled_domains.remove(index);
             }
             (Ok(_), true) | (Err(_), false) => return false,
         }
@@ -155,8 +155,8 @@
     pub fn confirm_list(&mut self, now: Time, asked: Time) {
         // The first proof of all is a start, not a return: what vanishes then has left.
         let age = self.list_freshness.age(now);
-        if age.is_some_and(|age| age > STORE_AWAY) {
-            self.store_back = Some(now);
+        if age.is_some_and(|age| age > STORE_OUTAGE_THRESHOLD) {
+            self.store_recovered_at = Some(now);
         }
         self.list_freshness.confirm(asked);
     }
@@ -164,7 +164,7 @@
     /// Takes a change of the list in.
     pub fn change(&mut self, now: Time, change: Change) {
         match change {
-            Change::Removed(id) => self.gone(now, &id),
+            Change::Removed(id) => self.remove_listing(now, &id),
             Change::Set(listing) => match self.find(&listing.id) {
                 Some(key) => self.endpoints[key].update(listing, now),
                 None => {
@@ -176,22 +176,22 @@
 
     /// An entry is gone: at once, or with a delay if the store was away, since entries
     /// lapse meanwhile though their endpoints live.
-    fn gone(&mut self, now: Time, id: &str) {
-        let away = !self.list_freshness.within(now, STORE_AWAY);
-        let back = self
-            .store_back
-            .filter(|back| now.since(*back) < RETURN_TIME);
+    fn remove_listing(&mut self, now: Time, id: &str) {
+        let store_unreachable = !self.list_freshness.within(now, STORE_OUTAGE_THRESHOLD);
+        let recovered_at = self
+            .store_recovered_at
+            .filter(|recovered_at| now.since(*recovered_at) < REREGISTRATION_GRACE);
         let Some(key) = self.find(id) else {
             return;
         };
         let endpoint = &mut self.endpoints[key];
         if endpoint.leaving_since.is_none() {
-            if away {
-                endpoint.doubt_until = Some(now.after(RETURN_TIME));
+            if store_unreachable {
+                endpoint.grace_until = Some(now.after(REREGISTRATION_GRACE));
                 return;
             }
-            if let Some(back) = back {
-                endpoint.doubt_until = Some(back.after(RETURN_TIME));
+            if let Some(recovered_at) = recovered_at {
+                endpoint.grace_until = Some(recovered_at.after(REREGISTRATION_GRACE));
                 return;
             }
         }
@@ -210,8 +210,8 @@
     pub fn tick(&mut self, now: Time) {
         self.peer_loads.expire(now);
         for endpoint in self.endpoints.values_mut() {
-            if endpoint.doubt_until.is_some_and(|until| now >= until) {
-                endpoint.doubt_until = None;
+            if endpoint.grace_until.is_some_and(|until| now >= until) {
+                endpoint.grace_until = None;
                 endpoint.leaving_since.get_or_insert(now);
             }
         }
@@ -225,26 +225,26 @@
         self.endpoints.retain(|key, endpoint| {
             let left = endpoint
                 .leaving_since
-                .is_some_and(|since| now.since(since) > FORGET);
+                .is_some_and(|since| now.since(since) > LEFT_ENDPOINT_RETENTION);
             !left || endpoint.in_flight > 0 || used(key, runs)
         });
     }
 
     /// Takes a place in the queue of a service.
     pub fn enqueue(&mut self, ticket: &Ticket) -> QueuePosition {
-        self.next_waiter += 1;
-        let place = QueuePosition {
+        self.next_turn += 1;
+        let position = QueuePosition {
             priority: ticket.priority,
             service: ticket.service.clone(),
-            turn: self.next_waiter,
+            turn: self.next_turn,
         };
-        self.waiting.push(place.clone());
-        place
+        self.waiting.push(position.clone());
+        position
     }
 
     /// Leaves the queue.
-    pub fn dequeue(&mut self, place: &QueuePosition) {
-        self.waiting.retain(|other| other != place);
+    pub fn dequeue(&mut self, position: &QueuePosition) {
+        self.waiting.retain(|other| other != position);
     }
 
     /// Requests that wait.
@@ -255,16 +255,16 @@
 
     /// Whether another request of the service comes first.
     #[must_use]
-    pub fn is_preceded(&self, place: &QueuePosition) -> bool {
+    pub fn is_preceded(&self, position: &QueuePosition) -> bool {
         self.waiting.iter().any(|other| {
-            other.service == place.service
-                && (other.priority, other.turn) < (place.priority, place.turn)
+            other.service == position.service
+                && (other.priority, other.turn) < (position.priority, position.turn)
         })
     }
 
     /// Whether the failure domain is taken out.
     #[must_use]
-    pub fn is_out(&self, domain: &str) -> bool {
+    pub fn is_disabled(&self, domain: &str) -> bool {
         let found = self
             .disabled_domains
             .binary_search_by(|other| other.as_str().cmp(domain));
@@ -331,8 +331,8 @@
         self.endpoints.get(key).is_some_and(|endpoint| {
             let left = endpoint
                 .leaving_since
-                .is_some_and(|since| now.since(since) > LEAVING_WORKS);
-            !left && !self.is_out(&endpoint.listing.domain)
+                .is_some_and(|since| now.since(since) > LEAVING_GRACE);
+            !left && !self.is_disabled(&endpoint.listing.domain)
         })
     }
 
@@ -354,7 +354,7 @@
 
 /// How long after its leaving became known an engine may still be sent to. The bound
 /// of two seconds counts from the leaving itself, which was known up to a second later.
-const LEAVING_WORKS: Duration = Duration::from_millis(900);
+const LEAVING_GRACE: Duration = Duration::from_millis(900);
 
 /// How long an endpoint that left is remembered.
-const FORGET: Duration = Duration::from_secs(30);
+const LEFT_ENDPOINT_RETENTION: Duration = Duration::from_secs(30);
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -18,20 +18,20 @@
 };
 
 /// Milliseconds of a step; every message takes one.
-const STEP: u64 = 20;
+const STEP_MS: u64 = 20;
 
 /// Steps between two reports of a member.
-const REPORT_STEPS: u64 = 10;
+const REPORT_INTERVAL_STEPS: u64 = 10;
 
 /// Steps between two sums of an aggregator.
-const SUM_STEPS: u64 = 3;
+const SUM_INTERVAL_STEPS: u64 = 3;
 
 /// Rank of an instance of whom only the order matters.
-const FIRST: Rank = (std::cmp::Reverse(500), 0);
+const ANY_RANK: Rank = (std::cmp::Reverse(500), 0);
 
 /// Steps between two checks of sums, each of one instance in so many.
-const CHECK_STEPS: u64 = 5;
-const SAMPLE: usize = 7;
+const CHECK_INTERVAL_STEPS: u64 = 5;
+const SAMPLE_EVERY: usize = 7;
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const ENDPOINTS: u32 = 128;
@@ -45,12 +45,12 @@
     peer_loads: PeerLoads,
     /// Neither hears nor says anything.
     frozen: bool,
-    heard: u64,
+    received: u64,
     incarnation: u64,
     members: Members,
     name: String,
     own: Report,
-    said: u64,
+    sent: u64,
     sums: Sums,
 }
 
@@ -64,50 +64,50 @@
 /// Three hundred instances, and what is on its way between them.
 struct Fleet {
     /// From one domain to another nothing passes.
-    cut: Vec<(usize, usize)>,
+    partitions: Vec<(usize, usize)>,
     nodes: Vec<Node>,
     now: u64,
-    on_the_way: Vec<(usize, usize, Message)>,
+    in_flight: Vec<(usize, usize, Message)>,
     random: SmallRng,
 }
 
 impl Fleet {
     fn new(per_domain: usize, seed: u64) -> Self {
         let count = DOMAINS.len() * per_domain;
-        let name = |place: usize| format!("e{place:03}");
+        let name = |index: usize| format!("e{index:03}");
         let mut members = Members::default();
         for other in 0..count {
             // Three of each domain are stronger than the others.
             let processor = if other < 3 * DOMAINS.len() { 500 } else { 120 };
             members.set(&name(other), DOMAINS[other % DOMAINS.len()], processor);
         }
-        let nodes = (0..count).map(|place| Node {
-            domain: place % DOMAINS.len(),
+        let nodes = (0..count).map(|index| Node {
+            domain: index % DOMAINS.len(),
             peer_loads: PeerLoads::default(),
             frozen: false,
-            heard: 0,
+            received: 0,
             incarnation: 1,
             members: members.clone(),
-            name: name(place),
+            name: name(index),
             own: Vec::new(),
-            said: 0,
+            sent: 0,
             sums: Sums::default(),
         });
         let mut fleet = Self {
-            cut: Vec::new(),
+            partitions: Vec::new(),
             nodes: nodes.collect(),
             now: 1000,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             random: SmallRng::seed_from_u64(seed),
         };
-        for place in 0..count {
-            fleet.load(place);
+        for index in 0..count {
+            fleet.load(index);
         }
         fleet
     }
 
     /// Gives an instance another load of its own.
-    fn load(&mut self, place: usize) {
+    fn load(&mut self, index: usize) {
         let mut own = Vec::new();
         for _ in 0..3 {
             let digest = self.random.random_range(0..ENDPOINTS) * 1000;
@@ -119,7 +119,7 @@
             };
             add_rows(&mut own, &vec![(digest, load)]);
         }
-        self.nodes[place].own = own;
+        self.nodes[index].own = own;
     }
 
     fn run(&mut self, millis: u64, mut check: impl FnMut(&Self)) {
@@ -131,40 +131,40 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        for (from, to, message) in std::mem::take(&mut self.on_the_way) {
+        self.now += STEP_MS;
+        for (from, to, message) in std::mem::take(&mut self.in_flight) {
             let (from_domain, to_domain) = (self.nodes[from].domain, self.nodes[to].domain);
-            if !self.cut.contains(&(from_domain, to_domain)) && !self.nodes[to].frozen {
-                self.nodes[to].heard += 1;
-                self.hear(from, to, message);
+            if !self.partitions.contains(&(from_domain, to_domain)) && !self.nodes[to].frozen {
+                self.nodes[to].received += 1;
+                self.handle(from, to, message);
             }
         }
-        for place in 0..self.nodes.len() {
-            let turn = self.now / STEP + place as u64;
-            if self.nodes[place].frozen {
+        for index in 0..self.nodes.len() {
+            let tick = self.now / STEP_MS + index as u64;
+            if self.nodes[index].frozen {
                 continue;
             }
-            let role = self.settle(place);
+            let role = self.update_role(index);
             match role {
-                Role::Aggregator if turn.is_multiple_of(SUM_STEPS) => self.sum(place),
-                Role::Member if turn.is_multiple_of(REPORT_STEPS) => self.report(place),
+                Role::Aggregator if tick.is_multiple_of(SUM_INTERVAL_STEPS) => self.sum(index),
+                Role::Member if tick.is_multiple_of(REPORT_INTERVAL_STEPS) => self.report(index),
                 Role::Aggregator | Role::Mesh | Role::Member => {}
             }
         }
     }
 
-    fn settle(&mut self, place: usize) -> Role {
+    fn update_role(&mut self, index: usize) -> Role {
         let now = at(self.now);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         let _silent = node.members.skip_unresponsive(now);
         let role = node.members.role(&node.name);
         node.sums.select_source(now, role != Role::Member);
         role
     }
 
-    fn report(&mut self, place: usize) {
+    fn report(&mut self, index: usize) {
         let (now, micros) = (at(self.now), self.now * 1000);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         node.sums.views.record_report(micros, node.own.clone());
         let links = node.members.links(&node.name, now);
         for link in links.into_iter().filter(|link| link.same_domain) {
@@ -172,17 +172,17 @@
             node.members.expect_answer(link.key, now, true);
             let preferred = node.sums.views.preferred(now);
             let wanted = preferred.is_none_or(|preferred| preferred == name);
-            let holds = wanted.then(|| node.sums.views.version(&name));
-            let message = Message::Report(micros, node.own.clone(), holds);
-            node.said += 1;
-            self.on_the_way.push((place, number(&name), message));
+            let known_version = wanted.then(|| node.sums.views.version(&name));
+            let message = Message::Report(micros, node.own.clone(), known_version);
+            node.sent += 1;
+            self.in_flight.push((index, number(&name), message));
         }
     }
 
-    fn sum(&mut self, place: usize) {
-        self.report(place);
+    fn sum(&mut self, index: usize) {
+        self.report(index);
         let now = at(self.now);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         node.peer_loads.expire(now);
         node.sums.publish(now, &node.peer_loads, node.own.clone());
         let mut rows = node.peer_loads.sums().clone();
@@ -203,21 +203,21 @@
         names.sort();
         names.dedup();
         for name in names {
-            node.said += 1;
+            node.sent += 1;
             let message = Message::Sum(part.clone());
-            self.on_the_way.push((place, number(&name), message));
+            self.in_flight.push((index, number(&name), message));
         }
     }
 
-    fn hear(&mut self, from: usize, to: usize, message: Message) {
+    fn handle(&mut self, from: usize, to: usize, message: Message) {
         let now = at(self.now);
         let (sender, domain) = (self.nodes[from].name.clone(), self.nodes[from].domain);
         let node = &mut self.nodes[to];
         match message {
-            Message::Report(micros, rows, holds) => {
+            Message::Report(micros, rows, known_version) => {
                 node.sums
                     .report(now, &mut node.peer_loads, &sender, micros, rows);
-                let changes = holds.map(|(incarnation, version)| {
+                let changes = known_version.map(|(incarnation, version)| {
                     let since = if incarnation == node.incarnation { version } else { 0 };
                     node.sums.table.changes(since, 200)
                 });
@@ -227,8 +227,8 @@
                     incarnation: node.incarnation,
                     members: u32::try_from(node.peer_loads.count(now) + 1).expect("few"),
                 };
-                node.said += 1;
-                self.on_the_way.push((to, from, Message::Answer(answer)));
+                node.sent += 1;
+                self.in_flight.push((to, from, Message::Answer(answer)));
             }
             Message::Answer(answer) => {
                 node.members.mark_responsive(&sender);
@@ -245,52 +245,52 @@
     }
 
     /// Requests at all endpoints together, of all instances but one.
-    fn truth(&self, but: usize) -> u32 {
+    fn actual(&self, but: usize) -> u32 {
         let others = self.nodes.iter().enumerate();
-        let others = others.filter(|(place, _)| *place != but);
+        let others = others.filter(|(index, _)| *index != but);
         others.map(|(_, node)| requests(&node.own)).sum()
     }
 
     /// The same as an instance knows it.
-    fn known(&self, place: usize) -> u32 {
-        let node = &self.nodes[place];
+    fn known(&self, index: usize) -> u32 {
+        let node = &self.nodes[index];
         let endpoints = (0..ENDPOINTS).map(|endpoint| endpoint * 1000);
         let loads = endpoints.map(|digest| node.sums.others(&node.peer_loads, digest));
         loads.map(|load| load.requests).sum()
     }
 
     /// That no instance counts the load of any other twice.
-    fn nothing_counts_twice(&self) {
-        if !(self.now / STEP).is_multiple_of(CHECK_STEPS) {
+    fn assert_no_double_count(&self) {
+        if !(self.now / STEP_MS).is_multiple_of(CHECK_INTERVAL_STEPS) {
             return;
         }
-        let skipped = usize::try_from(self.now / STEP / CHECK_STEPS).expect("small") % SAMPLE;
-        let places = (skipped..self.nodes.len()).step_by(SAMPLE);
-        for place in places.filter(|place| !self.nodes[*place].frozen) {
-            let (known, truth) = (self.known(place), self.truth(place));
+        let offset = usize::try_from(self.now / STEP_MS / CHECK_INTERVAL_STEPS).expect("small") % SAMPLE_EVERY;
+        let indices = (offset..self.nodes.len()).step_by(SAMPLE_EVERY);
+        for index in indices.filter(|index| !self.nodes[*index].frozen) {
+            let (known, actual) = (self.known(index), self.actual(index));
             assert!(
-                known <= truth,
-                "{place} at {}: {known} of {truth}",
+                known <= actual,
+                "instance {index} at {} ms counts {known} requests of {actual}",
                 self.now
             );
         }
     }
 
     /// Instances that do not know the load of all others.
-    fn unsure(&self) -> Vec<usize> {
-        let places = (0..self.nodes.len()).filter(|place| !self.nodes[*place].frozen);
-        let unsure = places.filter(|place| self.known(*place) != self.truth(*place));
-        unsure.collect()
+    fn incomplete(&self) -> Vec<usize> {
+        let indices = (0..self.nodes.len()).filter(|index| !self.nodes[*index].frozen);
+        let incomplete = indices.filter(|index| self.known(*index) != self.actual(*index));
+        incomplete.collect()
     }
 
     fn aggregators(&self, domain: usize) -> Vec<usize> {
-        let places = (0..self.nodes.len()).filter(|place| self.nodes[*place].domain == domain);
-        let role = |place: &usize| {
-            let node = &self.nodes[*place];
+        let indices = (0..self.nodes.len()).filter(|index| self.nodes[*index].domain == domain);
+        let role = |index: &usize| {
+            let node = &self.nodes[*index];
             node.members.role(&node.name)
         };
-        places
-            .filter(|place| role(place) == Role::Aggregator)
+        indices
+            .filter(|index| role(index) == Role::Aggregator)
             .collect()
     }
 }
@@ -309,27 +309,27 @@
 #[test]
 fn every_instance_knows_the_load_of_all_others() {
     let mut fleet = Fleet::new(60, 1);
-    fleet.run(2000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
-    for place in 0..40 {
-        fleet.load(place * 7);
+    fleet.run(2000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
+    for index in 0..40 {
+        fleet.load(index * 7);
     }
     fleet.run(1000, |_| {});
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
 /// What an instance says and hears must not grow with the fleet: at three hundred instances
 /// that told all others, words alone took more of the machines than the requests did.
 #[test]
 fn words_of_a_member_do_not_grow_with_the_fleet() {
-    let words = [10, 60].map(|per_domain| {
+    let messages = [10, 60].map(|per_domain| {
         let mut fleet = Fleet::new(per_domain, 2);
         fleet.run(2000, |_| {});
         let member = fleet.nodes.last().expect("a member");
         assert_eq!(member.members.role(&member.name), Role::Member);
-        member.said + member.heard
+        member.sent + member.received
     });
-    assert!(words[1] <= words[0] + 4, "{words:?}");
+    assert!(messages[1] <= messages[0] + 4, "{messages:?}");
 }
 
 /// Both aggregators of a failure domain lose their power. Their members turn to the next
@@ -338,16 +338,16 @@
 fn lost_aggregators_are_replaced() {
     let mut fleet = Fleet::new(60, 3);
     fleet.run(2000, |_| {});
-    let lost = fleet.aggregators(2);
-    assert_eq!(lost.len(), 2);
-    for place in lost {
-        fleet.nodes[place].frozen = true;
-        fleet.nodes[place].own = Vec::new();
+    let failed = fleet.aggregators(2);
+    assert_eq!(failed.len(), 2);
+    for index in failed {
+        fleet.nodes[index].frozen = true;
+        fleet.nodes[index].own = Vec::new();
     }
     // What the two had themselves is counted until it outlives its time.
     fleet.run(STALE_MS, |_| {});
-    fleet.run(1000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    fleet.run(1000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
 /// An aggregator wakes from a freeze and takes up where it stopped, beside the one that has
@@ -358,10 +358,10 @@
     fleet.run(2000, |_| {});
     let frozen = fleet.aggregators(1)[0];
     fleet.nodes[frozen].frozen = true;
-    fleet.run(5000, Fleet::nothing_counts_twice);
+    fleet.run(5000, Fleet::assert_no_double_count);
     fleet.nodes[frozen].frozen = false;
-    fleet.run(8000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    fleet.run(8000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
 /// Words pass from one failure domain to another in one direction only. The domain that is
@@ -371,18 +371,18 @@
 fn a_domain_cut_one_way_is_left_out_and_comes_back() {
     let mut fleet = Fleet::new(60, 5);
     fleet.run(2000, |_| {});
-    fleet.cut.push((0, 3));
-    fleet.run(6000, Fleet::nothing_counts_twice);
+    fleet.partitions.push((0, 3));
+    fleet.run(6000, Fleet::assert_no_double_count);
     let from: u32 = (0..fleet.nodes.len())
-        .filter(|place| fleet.nodes[*place].domain == 0)
-        .map(|place| requests(&fleet.nodes[place].own))
+        .filter(|index| fleet.nodes[*index].domain == 0)
+        .map(|index| requests(&fleet.nodes[index].own))
         .sum();
     let member = fleet.nodes.len() - 2;
     assert_eq!(fleet.nodes[member].domain, 3);
-    assert_eq!(fleet.known(member), fleet.truth(member) - from);
-    fleet.cut.clear();
-    fleet.run(8000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    assert_eq!(fleet.known(member), fleet.actual(member) - from);
+    fleet.partitions.clear();
+    fleet.run(8000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
 /// An aggregator starts anew with an empty table. Members that held rows of its former life
@@ -409,7 +409,7 @@
         rows: vec![row(900)],
         version: 40,
     };
-    assert!(views.update("e1", FIRST, answer(1_000_000, 1, changes)));
+    assert!(views.update("e1", ANY_RANK, answer(1_000_000, 1, changes)));
     assert_eq!(views.at("e1", 5).tokens, 900);
     views.record_report(1_200_000, Vec::new());
     let changes = Changes {
@@ -417,7 +417,7 @@
         rows: vec![],
         version: 2,
     };
-    assert!(views.update("e1", FIRST, answer(1_200_000, 2, changes)));
+    assert!(views.update("e1", ANY_RANK, answer(1_200_000, 2, changes)));
     assert_eq!(views.at("e1", 5).tokens, 0);
 }
 
@@ -433,7 +433,7 @@
         incarnation: 1,
         members: 60,
     };
-    assert!(sums.views.update("e1", FIRST, answer));
+    assert!(sums.views.update("e1", ANY_RANK, answer));
     assert_eq!(sums.views.best(at(2000)), Some("e1"));
     assert_eq!(sums.views.best(at(9000)), None);
 }
@@ -459,7 +459,7 @@
         incarnation: 1,
         members: 60,
     };
-    assert!(views.update("e1", FIRST, answer));
+    assert!(views.update("e1", ANY_RANK, answer));
     assert_eq!(views.at("e1", 5).tokens, 4000);
 }
 
@@ -481,13 +481,13 @@
     };
     let mut sums = Sums::default();
     let whole = part(1, Some((0, u32::MAX)), vec![(5, load(2)), (7, load(3))]);
-    sums.domains.update(at(10), "b", "e1", FIRST, &whole);
+    sums.domains.update(at(10), "b", "e1", ANY_RANK, &whole);
     let grown = part(2, None, vec![(7, load(4))]);
-    sums.domains.update(at(20), "b", "e1", FIRST, &grown);
+    sums.domains.update(at(20), "b", "e1", ANY_RANK, &grown);
     assert_eq!(sums.domains.at(5).requests, 2);
     assert_eq!(sums.domains.at(7).requests, 4);
     let late = part(1, Some((0, u32::MAX)), vec![(5, load(2)), (7, load(3))]);
-    sums.domains.update(at(30), "b", "e1", FIRST, &late);
+    sums.domains.update(at(30), "b", "e1", ANY_RANK, &late);
     assert_eq!(sums.domains.at(7).requests, 4);
 }
 
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -147,7 +147,7 @@
 }
 
 /// Begins a long generation, as the loop does.
-pub fn begin(state: &mut State, endpoint: EndpointKey, backup: Option<EndpointKey>) -> RunKey {
+pub fn begin_run(state: &mut State, endpoint: EndpointKey, backup: Option<EndpointKey>) -> RunKey {
     state.begin(Run {
         backup,
         endpoint,
@@ -168,7 +168,7 @@
 }
 
 /// The endpoint that a pick sends to.
-pub fn sent(pick: Pick) -> (EndpointKey, Option<EndpointKey>) {
+pub fn picked(pick: Pick) -> (EndpointKey, Option<EndpointKey>) {
     match pick {
         Pick::Send(key, backup) => (key, backup),
         Pick::Wait => panic!("nothing was picked"),
--- a/crates/forward/tests/histories.rs
+++ b/crates/forward/tests/histories.rs
@@ -13,7 +13,7 @@
         test_runner::{RngSeed, TestRunner},
     },
     std::cell::Cell,
-    simulation::{ENGINES, INSTANCES, KEYS, Op, World},
+    simulation::{ENGINES, INSTANCES, KEYS, Op, Simulation},
 };
 
 /// Histories run where the environment names no number.
@@ -30,22 +30,22 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let place = 0..INSTANCES;
+    let index = 0..INSTANCES;
     let engine = 0..ENGINES;
     prop_oneof![
-        12 => (place.clone(), 0..2_usize).prop_map(|(place, topic)| Op::Ask(place, topic)),
-        12 => (place.clone(), 0..2_usize).prop_map(|(place, topic)| Op::Answer(place, topic)),
-        2 => (place.clone(), 500..8000_u64).prop_map(|(place, millis)| Op::Cut(place, millis)),
+        12 => (index.clone(), 0..2_usize).prop_map(|(index, topic)| Op::Ask(index, topic)),
+        12 => (index.clone(), 0..2_usize).prop_map(|(index, topic)| Op::Answer(index, topic)),
+        2 => (index.clone(), 500..8000_u64).prop_map(|(index, millis)| Op::Cut(index, millis)),
         1 => (0..3_usize, any::<bool>()).prop_map(|(domain, out)| Op::Domain(domain, out)),
-        2 => (place.clone(), 500..7000_u64).prop_map(|(place, millis)| Op::Freeze(place, millis)),
+        2 => (index.clone(), 500..7000_u64).prop_map(|(index, millis)| Op::Freeze(index, millis)),
         3 => (0..KEYS, any::<bool>()).prop_map(|(key, held)| Op::Key(key, held)),
-        10 => (place.clone(), place.clone()).prop_map(|(place, from)| Op::Hear(place, from)),
+        10 => (index.clone(), index.clone()).prop_map(|(index, from)| Op::Echo(index, from)),
         1 => engine.clone().prop_map(Op::Leave),
-        1 => place.clone().prop_map(Op::PowerLoss),
-        24 => (place.clone(), 0..KEYS).prop_map(|(place, key)| Op::Request(place, key)),
+        1 => index.clone().prop_map(Op::PowerLoss),
+        24 => (index.clone(), 0..KEYS).prop_map(|(index, key)| Op::Request(index, key)),
         2 => engine.clone().prop_map(Op::Start),
-        8 => (place.clone(), place, 1..3000_u64, any::<bool>())
-            .prop_map(|(from, to, way, records)| Op::Tell(from, to, way, records)),
+        8 => (index.clone(), index, 1..3000_u64, any::<bool>())
+            .prop_map(|(from, to, delay_ms, records)| Op::Report(from, to, delay_ms, records)),
         16 => (1..400_u64).prop_map(Op::Tick),
         2 => (400..5000_u64).prop_map(Op::Tick),
         1 => engine.prop_map(Op::Vanish),
@@ -69,11 +69,11 @@
     let sent = Cell::new(0);
     let mut runner = TestRunner::new(config);
     let result = runner.run(&vec(op(), 1..150), |ops| {
-        let mut world = World::new(1);
+        let mut simulation = Simulation::new(1);
         for op in ops {
-            world.step(op);
+            simulation.step(op);
         }
-        sent.set(sent.get() + world.sent().values().sum::<usize>());
+        sent.set(sent.get() + simulation.sent().values().sum::<usize>());
         Ok(())
     });
     if let Err(error) = result {
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -18,7 +18,7 @@
 fn nothing_new_goes_to_an_engine_that_leaves() {
     for vanishes in [false, true] {
         let mut state = instance(&pair());
-        let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
+        let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
         assert_eq!(id(&state, first), "m1");
         let mut leaving = listing("m1", "model", "a");
         leaving.leaving = true;
@@ -30,9 +30,9 @@
         // The list has been followed without a break, so a vanished entry is believed.
         state.confirm_list(at(2200), at(2200));
         state.change(at(2300), change);
-        let (next, _) = sent(state.pick(at(2301), "model", LONG, &[]));
+        let (next, _) = picked(state.pick(at(2301), "model", LONG, &[]));
         assert_ne!(id(&state, next), "m1");
-        let run = begin(&mut state, first, Some(next));
+        let run = begin_run(&mut state, first, Some(next));
         assert!(state.must_move(run));
     }
 }
@@ -43,8 +43,8 @@
 #[test]
 fn a_new_instance_believes_what_vanishes() {
     let mut state = instance(&pair());
-    let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    let run = begin(&mut state, first, None);
+    let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
+    let run = begin_run(&mut state, first, None);
     state.change(at(300), Change::Removed(id(&state, first)));
     assert!(state.must_move(run));
 }
@@ -60,7 +60,7 @@
     for name in ["m1", "m2"] {
         state.change(at(8001), Change::Removed(name.to_string()));
     }
-    let (during, _) = sent(state.pick(at(8100), "model", LONG, &[]));
+    let (during, _) = picked(state.pick(at(8100), "model", LONG, &[]));
     assert_eq!(id(&state, during), "m1");
     // One comes back within two seconds, the other does not.
     state.change(at(9000), Change::Set(listing("m1", "model", "a")));
@@ -78,9 +78,9 @@
 #[test]
 fn nothing_goes_to_a_domain_that_is_out() {
     let mut state = instance(&pair());
-    let (first, backup) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
-    let run = begin(&mut state, first, Some(backup));
+    let run = begin_run(&mut state, first, Some(backup));
     assert!(state.may_continue_at(at(20), backup));
     assert_eq!(state.healthy_backup(at(20), run), Some(backup));
     state.set_domain("b", true);
@@ -96,9 +96,9 @@
 #[test]
 fn a_leaving_engine_may_take_a_run_over_for_a_moment() {
     let mut state = instance(&pair());
-    let (first, backup) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
-    let run = begin(&mut state, first, Some(backup));
+    let run = begin_run(&mut state, first, Some(backup));
     let name = id(&state, backup);
     let mut leaving = listing(&name, "model", "b");
     leaving.leaving = true;
@@ -114,7 +114,7 @@
 #[test]
 fn an_unreachable_endpoint_is_avoided_until_it_is_born_again() {
     let mut state = instance(&pair());
-    let (key, _) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (key, _) = picked(state.pick(at(10), "model", LONG, &[]));
     state.endpoint_mut(key).expect("known").mark_unreachable(at(100));
     assert!(!state.endpoint(key).expect("known").usable(at(350)));
     assert!(state.endpoint(key).expect("known").usable(at(400)));
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -22,30 +22,30 @@
         let mut arrivals = arrivals;
         arrivals.sort_by_key(|(_, time)| *time);
         let mut budgets = (0..10).map(|_| RetryBudget::new(&settings("a"))).collect::<Vec<_>>();
-        let mut seconds = Vec::new();
+        let mut retries = Vec::new();
         for (instance, time) in &arrivals {
             let budget = &mut budgets[*instance];
             budget.record_request("desk", at(*time));
             for _ in 0..3 {
                 if budget.allows_retry("desk", at(*time)) {
                     budget.record_retry("desk", at(*time));
-                    seconds.push(*time);
+                    retries.push(*time);
                 }
             }
         }
-        for end in &seconds {
+        for end in &retries {
             let within = |time: &u64, back: u64| *time + back <= *end && *time + back + 10_000 > *end;
-            let second = seconds.iter().filter(|time| within(time, 0)).count();
+            let retried = retries.iter().filter(|time| within(time, 0)).count();
             // First sends count in the window itself, the one before it, or the one half
             // a window before it, whichever has most.
-            let first = [0, 5000, 10_000]
+            let requests = [0, 5000, 10_000]
                 .map(|back| arrivals.iter().filter(|(_, time)| within(time, back)).count())
                 .into_iter()
                 .max()
                 .unwrap_or_default();
             #[expect(clippy::cast_precision_loss, reason = "small counts")]
-            let (first, second) = (first as f64, second as f64);
-            prop_assert!(second <= first * 0.2 + 50.0, "{second} after {first}");
+            let (requests, retried) = (requests as f64, retried as f64);
+            prop_assert!(retried <= requests * 0.2 + 50.0, "{retried} retries of {requests} requests");
         }
     }
 
@@ -56,12 +56,12 @@
     fn a_cold_engine_is_not_overrun(times in proptest::collection::vec(0_u64..3000, 1..400)) {
         let mut times = times;
         times.sort_unstable();
-        let most = 2; // 28 a second over ten instances, rounded down
-        let mut paces = vec![RateLimiter::default(); 10];
+        let max_sends = 2; // 28 a second over ten instances, rounded down
+        let mut rate_limiters = vec![RateLimiter::default(); 10];
         let mut sent = Vec::new();
-        for (place, time) in times.iter().enumerate() {
-            let rate_limiter = &mut paces[place % 10];
-            if rate_limiter.allows(at(*time), most) {
+        for (index, time) in times.iter().enumerate() {
+            let rate_limiter = &mut rate_limiters[index % 10];
+            if rate_limiter.allows(at(*time), max_sends) {
                 rate_limiter.record_send(at(*time));
                 sent.push(*time);
             }
@@ -81,12 +81,12 @@
     for _ in 0..10 {
         budget.record_request("desk", at(0));
     }
-    let mut seconds = 0;
+    let mut retries = 0;
     while budget.allows_retry("desk", at(1)) {
         budget.record_retry("desk", at(1));
-        seconds += 1;
+        retries += 1;
     }
-    assert_eq!(seconds, 1 + 5);
+    assert_eq!(retries, 1 + 5);
     assert!(budget.allows_retry("model", at(1)));
     assert!(budget.allows_retry("desk", at(10_100)));
 }
@@ -96,21 +96,21 @@
 #[test]
 fn parts_shrink_when_there_are_more_instances() {
     let mut state = instance(&[]);
-    let sends = |state: &mut forward::State, now: u64| {
-        let mut sends = 0;
+    let retries = |state: &mut forward::State, now: u64| {
+        let mut retries = 0;
         while state.budget.allows_retry("desk", at(now)) {
             state.budget.record_retry("desk", at(now));
-            sends += 1;
+            retries += 1;
         }
-        sends
+        retries
     };
-    assert_eq!(sends(&mut state, 0), 5);
+    assert_eq!(retries(&mut state, 0), 5);
     state.count_instances(7);
-    assert_eq!(sends(&mut state, 20_000), 5);
+    assert_eq!(retries(&mut state, 20_000), 5);
     state.count_instances(40);
-    assert_eq!(sends(&mut state, 40_000), 1);
+    assert_eq!(retries(&mut state, 40_000), 1);
     state.count_instances(80);
-    assert_eq!(sends(&mut state, 60_000), 0);
+    assert_eq!(retries(&mut state, 60_000), 0);
 }
 
 /// The operators lower the bounds while instances run. Old parts would go on being used
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -45,8 +45,8 @@
             exchange(&mut instances, now);
         }
         let state = &mut instances[usize::try_from(arrival % 7).expect("a small number")];
-        let (key, backup) = sent(state.pick(at(now), "model", LONG, &[]));
-        begin(state, key, backup);
+        let (key, backup) = picked(state.pick(at(now), "model", LONG, &[]));
+        begin_run(state, key, backup);
         let busy_until = reading.insert(id(state, key), now + 210);
         collisions += usize::from(busy_until.is_some_and(|until| until > now));
     }
@@ -64,11 +64,11 @@
 
 /// Twenty-five engines in each of three failure domains, and so many instances that a word
 /// of what one chose reaches the others only after some of them have chosen too.
-fn crowd() -> Vec<State> {
+fn large_deployment() -> Vec<State> {
     let engines = (0..75)
         .map(|number| listing(&format!("m{number}"), "model", ["a", "b", "c"][number % 3]))
         .collect::<Vec<_>>();
-    let crowd = (0..30).map(|number| {
+    let instances = (0..30).map(|number| {
         let mut state = instance_in(["a", "b", "c"][number % 3], number as u64, &engines);
         for other in 0..30 {
             let domain = ["a", "b", "c"][other % 3];
@@ -76,7 +76,7 @@
         }
         state
     });
-    crowd.collect()
+    instances.collect()
 }
 
 /// Ten prompts arrive within the 20 ms that a word of a choice is on its way, each at
@@ -85,22 +85,22 @@
 /// while most engines read nothing.
 #[test]
 fn many_instances_that_choose_at_once_choose_differently() {
-    let mut instances = crowd();
-    let mut met = 0;
+    let mut instances = large_deployment();
+    let mut collisions = 0;
     for second in 0..20 {
         let now = second as u64 * 1000;
         exchange(&mut instances, now);
         let mut chosen = Vec::new();
         for place in 0..10 {
             let state = &mut instances[(second * 7 + place * 3) % 30];
-            let (key, _) = sent(state.pick(at(now + 20), "model", LONG, &[]));
+            let (key, _) = picked(state.pick(at(now + 20), "model", LONG, &[]));
             let name = id(state, key);
-            met += usize::from(chosen.contains(&name));
+            collisions += usize::from(chosen.contains(&name));
             chosen.push(name);
         }
     }
     // Ten draws among 25 engines of a domain meet 1.6 times; alike they would 9 times.
-    assert!(met < 20 * 4, "{met} of 200 prompts met another one");
+    assert!(collisions < 20 * 4, "{collisions} of 200 prompts shared an engine");
 }
 
 /// Runs need most of all KV memory. Copies took the room that the next prompts
@@ -114,7 +114,7 @@
         let Pick::Send(key, copy) = state.pick(at(arrival * 1200), "model", LONG, &[]) else {
             break;
         };
-        begin(&mut state, key, None);
+        begin_run(&mut state, key, None);
         copied.push(copy.is_some());
     }
     // 18 engines of 34,000 tokens hold 94 runs of 3,225 in half of their memory, and 123 in
@@ -158,7 +158,7 @@
         }
         match state.pick(now, "model", LONG, &[]) {
             Pick::Send(key, _) => {
-                let run = begin(&mut state, key, None);
+                let run = begin_run(&mut state, key, None);
                 runs.push((run, *lengths.next().expect("endless")));
             }
             Pick::Wait => refused.push(held(&state, &runs)),
@@ -181,12 +181,12 @@
     let (new, old) = keys.split_at(3);
     for key in old {
         for _ in 0..9 {
-            begin(&mut state, *key, None);
+            begin_run(&mut state, *key, None);
         }
     }
-    let run = begin(&mut state, old[0], None);
+    let run = begin_run(&mut state, old[0], None);
     assert_eq!(state.pick_backup(at(10), run, old[0]), None);
-    let (next, _) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (next, _) = picked(state.pick(at(10), "model", LONG, &[]));
     assert!(new.contains(&next));
 }
 
@@ -203,7 +203,7 @@
             .find(|(_, endpoint)| endpoint.listing.id == name);
         let key = key.expect("a listed engine").0;
         for _ in 0..2 {
-            runs.push(begin(&mut state, key, None));
+            runs.push(begin_run(&mut state, key, None));
         }
         let mut leaving = listing(name, "model", "a");
         leaving.leaving = true;
@@ -230,7 +230,7 @@
 #[test]
 fn a_domain_that_crashes_takes_neither_work_nor_copies_with_it() {
     let mut state = instance(&engines());
-    let (first, backup) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let domain = |state: &State, key| {
         let endpoint: &forward::prelude::Endpoint = state.endpoint(key).expect("known");
         endpoint.listing.domain.clone()
@@ -245,7 +245,7 @@
     for key in crashed {
         state.endpoint_mut(key).expect("known").mark_unreachable(at(20));
     }
-    let (next, _) = sent(state.pick(at(21), "model", LONG, &[]));
+    let (next, _) = picked(state.pick(at(21), "model", LONG, &[]));
     assert_ne!(domain(&state, next), "a");
 }
 
@@ -257,7 +257,7 @@
     let mut state = instance(&[listing("m0", "model", "a")]);
     let mut filled = 0;
     while let Pick::Send(key, _) = state.pick(at(filled * 1500), "model", LONG, &[]) {
-        begin(&mut state, key, None);
+        begin_run(&mut state, key, None);
         filled += 1;
     }
     // 34,000 tokens hold nine reports of 3,000 that grow by 900 and end one after the other.
@@ -282,8 +282,8 @@
 #[test]
 fn a_run_past_its_estimate_is_not_taken_to_end_soon() {
     let mut state = instance(&engines());
-    let (key, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    let run = begin(&mut state, key, None);
+    let (key, _) = picked(state.pick(at(10), "model", LONG, &[]));
+    let run = begin_run(&mut state, key, None);
     let mut past = |events: u32| {
         state.run_mut(run).expect("a run").events = events;
         state.ends_soon(run)
--- a/crates/forward/tests/probes.rs
+++ b/crates/forward/tests/probes.rs
@@ -11,8 +11,8 @@
 fn engines_with_runs_are_asked_while_the_store_is_silent() {
     let engines = [listing("m1", "model", "a"), listing("m2", "model", "b")];
     let mut state = instance(&engines);
-    let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    let run = begin(&mut state, first, None);
+    let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
+    let run = begin_run(&mut state, first, None);
     state.confirm_list(at(1000), at(990));
     assert!(state.due_probes(at(2000)).is_empty());
     let asked_at = (2000..2600).find(|now| !state.due_probes(at(*now)).is_empty());
@@ -31,8 +31,8 @@
 #[test]
 fn an_engine_that_does_not_answer_is_asked_rarely() {
     let mut state = instance(&[listing("m1", "model", "a")]);
-    let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    begin(&mut state, first, None);
+    let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
+    begin_run(&mut state, first, None);
     let mut asked = 0;
     for now in (3000..9000).step_by(100) {
         for key in state.due_probes(at(now)) {
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -14,9 +14,9 @@
 
 const NAMES: [&str; 4] = ["e1", "e2", "e3", "e4"];
 
-fn own(name: &str, proven: u64, position: u64) -> LocalTopic<'_> {
+fn own(name: &str, confirmed: u64, position: u64) -> LocalTopic<'_> {
     let mut freshness = Freshness::default();
-    freshness.confirm(at(proven));
+    freshness.confirm(at(confirmed));
     LocalTopic {
         max_age: MAX_WATERMARK_AGE,
         freshness,
@@ -27,19 +27,19 @@
     }
 }
 
-fn word(age: u64, position: u64) -> [Watermark; 3] {
-    let word = Watermark {
+fn watermark(age: u64, position: u64) -> [Watermark; 3] {
+    let watermark = Watermark {
         age: Some(millis(age)),
         position,
     };
-    [word; 3]
+    [watermark; 3]
 }
 
 /// What `name` hears if all others are up to date at `now`.
-fn hears(name: &str, now: u64) -> Readers {
+fn peers_up_to_date(name: &str, now: u64) -> Readers {
     let mut readers = Readers::default();
     for other in NAMES.into_iter().filter(|other| *other != name) {
-        readers.update(other, at(now), true, word(300, 7));
+        readers.update(other, at(now), true, watermark(300, 7));
     }
     readers
 }
@@ -51,7 +51,7 @@
     let reading = NAMES
         .into_iter()
         .filter(|name| {
-            hears(name, 5000)
+            peers_up_to_date(name, 5000)
                 .must_read(own(name, 4700, 7), at(5000))
                 .is_some()
         })
@@ -68,7 +68,7 @@
     for name in NAMES {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
-            readers.update(other, at(6700), true, word(1750, 7));
+            readers.update(other, at(6700), true, watermark(1750, 7));
         }
         let cause = readers.must_read(own(name, 4950, 7), at(6700));
         assert!(cause.is_some(), "{name}");
@@ -83,7 +83,7 @@
     let causes = NAMES.map(|name| {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
-            readers.update(other, at(9000), true, word(4000, 7));
+            readers.update(other, at(9000), true, watermark(4000, 7));
         }
         readers.must_read(own(name, 5000, 7), at(9000))
     });
@@ -97,7 +97,7 @@
 #[test]
 fn a_reader_that_is_turned_away_gives_up_its_place() {
     for name in NAMES {
-        let readers = hears(name, 9000);
+        let readers = peers_up_to_date(name, 9000);
         assert!(!readers.is_reader(own(name, 6000, 7), at(9000)), "{name}");
     }
 }
@@ -112,7 +112,7 @@
     for name in NAMES {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
-            readers.update(other, at(6700), true, word(1750, 7));
+            readers.update(other, at(6700), true, watermark(1750, 7));
         }
         let own = own(name, 4950, 7);
         let cause = readers.must_read(own, at(6700)).expect("a cause");
@@ -120,9 +120,9 @@
     }
     let follower = NAMES
         .into_iter()
-        .find(|name| !hears(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
+        .find(|name| !peers_up_to_date(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
         .expect("a follower");
-    let readers = hears(follower, 5000);
+    let readers = peers_up_to_date(follower, 5000);
     assert!(!readers.should_relay(Cause::Missing, own(follower, 4900, 6), at(5000)));
 }
 
@@ -133,14 +133,14 @@
 /// taken away (rmpe-stl-grown, scale-2 --seed 583556312409).
 #[test]
 fn an_echo_of_a_former_life_proves_nothing() {
-    let word = word(100, 7)[0];
+    let watermark = watermark(100, 7)[0];
     let echo = |incarnation| EchoTimestamp {
         at: at(60_000),
         incarnation,
     };
-    assert_eq!(word.confirms(echo(11), 12, 7), None);
-    assert_eq!(word.confirms(EchoTimestamp::default(), 12, 7), None);
-    assert_eq!(word.confirms(echo(12), 12, 7), Some(at(59_900)));
+    assert_eq!(watermark.confirms(echo(11), 12, 7), None);
+    assert_eq!(watermark.confirms(EchoTimestamp::default(), 12, 7), None);
+    assert_eq!(watermark.confirms(echo(12), 12, 7), Some(at(59_900)));
 }
 
 /// The same fellow numbers its reports from the start again. Its load was passed over until
@@ -171,7 +171,7 @@
         .filter(|name| {
             let mut readers = Readers::default();
             for other in NAMES.into_iter().filter(|other| other != name) {
-                readers.update(other, at(40_000), true, word(20_000, 7));
+                readers.update(other, at(40_000), true, watermark(20_000, 7));
             }
             let own = LocalTopic {
                 max_age: MAX_INSTANCE_LIST_AGE,
@@ -191,9 +191,9 @@
     for side in [["e1", "e2"], ["e3", "e4"]] {
         let mut reading = 0;
         for name in side {
-            let mut readers = hears(name, 1000);
+            let mut readers = peers_up_to_date(name, 1000);
             for other in side.into_iter().filter(|other| *other != name) {
-                readers.update(other, at(3000), true, word(300, 7));
+                readers.update(other, at(3000), true, watermark(300, 7));
             }
             reading += usize::from(readers.must_read(own(name, 2900, 7), at(3000)).is_some());
         }
@@ -207,9 +207,9 @@
 fn missing_records_are_read() {
     let name = NAMES
         .into_iter()
-        .find(|name| !hears(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
+        .find(|name| !peers_up_to_date(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
         .expect("a follower");
-    let mut readers = hears(name, 5000);
+    let mut readers = peers_up_to_date(name, 5000);
     assert_eq!(readers.must_read(own(name, 4900, 6), at(5000)), None);
     let cause = readers.must_read(own(name, 4900, 6), at(5130));
     assert_eq!(cause, Some(Cause::Missing));
@@ -218,7 +218,7 @@
 
 /// Who of thirty instances in three failure domains reads the store; the first two of each
 /// domain add up, and all that are not cut apart hear each other's aggregators.
-fn readers_of_thirty(cut: bool) -> Vec<usize> {
+fn readers_by_domain(partitioned: bool) -> Vec<usize> {
     let names = (0..30)
         .map(|number| format!("e{number}"))
         .collect::<Vec<_>>();
@@ -226,12 +226,12 @@
     let mut reading = vec![0; 3];
     for (place, name) in names.iter().enumerate() {
         let mut readers = Readers::default();
-        for (other, fellow) in names.iter().enumerate() {
-            let near = other % 3 == place % 3;
-            let far = aggregates(place) && aggregates(other) && !cut;
-            let heard = other != place && ((aggregates(other) && near) || far);
-            if heard || (near && aggregates(place) && other != place) {
-                readers.update(fellow, at(1000), aggregates(other), word(300, 7));
+        for (other, peer) in names.iter().enumerate() {
+            let same_domain = other % 3 == place % 3;
+            let far = aggregates(place) && aggregates(other) && !partitioned;
+            let heard = other != place && ((aggregates(other) && same_domain) || far);
+            if heard || (same_domain && aggregates(place) && other != place) {
+                readers.update(peer, at(1000), aggregates(other), watermark(300, 7));
             }
         }
         let role = if aggregates(place) {
@@ -254,14 +254,14 @@
 /// instance with an old configuration.
 #[test]
 fn one_aggregator_of_a_large_deployment_reads_for_all() {
-    assert_eq!(readers_of_thirty(false).iter().sum::<usize>(), 1);
+    assert_eq!(readers_by_domain(false).iter().sum::<usize>(), 1);
 }
 
 /// Failure domains are cut off from each other, and each must follow the store by itself:
 /// a key that was taken away would be used on in the domains that have no reader.
 #[test]
 fn each_domain_of_a_large_deployment_has_a_reader_when_cut_off() {
-    assert_eq!(readers_of_thirty(true), [1, 1, 1]);
+    assert_eq!(readers_by_domain(true), [1, 1, 1]);
 }
 
 /// The two aggregators of a failure domain answer each other and report to each other. Each
@@ -271,8 +271,8 @@
     let reading = ["e1", "e2"].into_iter().filter(|name| {
         let other = if *name == "e1" { "e2" } else { "e1" };
         let mut readers = Readers::default();
-        readers.update(other, at(4900), true, word(300, 7));
-        readers.update(other, at(5000), false, word(300, 7));
+        readers.update(other, at(4900), true, watermark(300, 7));
+        readers.update(other, at(5000), false, watermark(300, 7));
         let own = LocalTopic {
             role: Role::Aggregator,
             ..own(name, 4900, 7)
@@ -288,7 +288,7 @@
 #[test]
 fn a_member_gives_records_the_time_to_come() {
     let mut readers = Readers::default();
-    readers.update("e1", at(5000), true, word(300, 7));
+    readers.update("e1", at(5000), true, watermark(300, 7));
     let own = LocalTopic {
         role: Role::Member,
         ..own("e2", 4900, 6)
@@ -304,7 +304,7 @@
 #[test]
 fn entries_of_dead_instances_are_dropped() {
     let mut readers = Readers::default();
-    readers.update("e2", at(10_000), true, word(300, 7));
+    readers.update("e2", at(10_000), true, watermark(300, 7));
     let minutes = |minutes: u64| at(minutes * 60_000);
     assert!(!readers.is_dead("e2", at(0), minutes(5)));
     assert!(readers.is_dead("e2", at(0), minutes(6)));
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -21,19 +21,19 @@
 pub const KEYS: usize = 4;
 
 /// Requests a second that a cold engine bears, from all instances together.
-const COLD_RATE: usize = 28;
+const COLD_RATE_PER_S: usize = 28;
 
 /// After this long a key that was taken away must not be used any more.
-const REVOCATION: u64 = 5000;
+const REVOCATION_MS: u64 = 5000;
 
 /// Longest doubt whether an entry that vanished is gone, with the pause between two looks.
-const DOUBT: u64 = 2250;
+const MAX_REMOVAL_DELAY_MS: u64 = 2250;
 
 /// Time within which every instance in touch has to know a new version.
-const APPLIED: u64 = 2000;
+const MAX_APPLY_DELAY_MS: u64 = 2000;
 
 /// Age of knowledge below which a request under a key has to be served.
-const OWED: u64 = 4600;
+const MAX_SERVING_AGE_MS: u64 = 4600;
 
 /// One step of a history.
 #[derive(Clone, Copy, Debug)]
@@ -51,7 +51,7 @@
     /// Operators give a key out, or take it away.
     Key(usize, bool),
     /// A report of one instance reaches another, which will echo its number.
-    Hear(usize, usize),
+    Echo(usize, usize),
     /// An engine says that it leaves.
     Leave(usize),
     /// A machine loses its power and comes back: it knows nothing, and its clock starts anew.
@@ -62,7 +62,7 @@
     Start(usize),
     /// What an instance knows is told to another, after some milliseconds on the way, with
     /// the records that it has read or without them.
-    Tell(usize, usize, u64, bool),
+    Report(usize, usize, u64, bool),
     /// Time passes.
     Tick(u64),
     /// An engine's entry vanishes.
@@ -71,7 +71,7 @@
 
 /// What a record of the store says.
 #[derive(Clone, Debug)]
-enum Fact {
+enum Record {
     Configure(Config),
     Domain(String, bool),
     Endpoint(Change),
@@ -87,30 +87,30 @@
 #[derive(Debug)]
 struct Instance {
     /// When its machine was started; its clock counts from here.
-    booted: u64,
+    booted_at: u64,
     cut_until: u64,
     frozen_until: u64,
     /// Numbers that it heard last, by instance.
-    heard: [EchoTimestamp; INSTANCES],
+    echoes: [EchoTimestamp; INSTANCES],
     incarnation: u64,
     /// When it learnt that an engine leaves, and whether the engine said so itself.
     left: [Option<(u64, bool)>; ENGINES],
     position: [usize; 2],
     pending: [Option<Answer>; 2],
     /// Time that each topic is proved for by this harness's own reckoning.
-    proven: [Option<u64>; 2],
+    confirmed: [Option<u64>; 2],
     state: State,
     version: u64,
 }
 
 /// A word of one instance to another, on its way.
 #[derive(Clone, Debug)]
-struct Letter {
+struct Message {
     arrives: u64,
     echo: EchoTimestamp,
     records: Option<usize>,
     to: usize,
-    word: Watermark,
+    watermark: Watermark,
 }
 
 /// Since when something has been so.
@@ -118,14 +118,14 @@
 
 /// Instances, the store's log, and the truth.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     disabled_domains: [Since; 3],
     instances: Vec<Instance>,
     /// Since when each key has been held, or taken away.
     keys: [(bool, u64); KEYS],
-    letters: Vec<Letter>,
-    lives: u64,
-    log: [Vec<Fact>; 2],
+    messages: Vec<Message>,
+    incarnations: u64,
+    log: [Vec<Record>; 2],
     now: u64,
     /// Requests that were sent: to which engine, when.
     sends: Vec<(usize, u64)>,
@@ -136,8 +136,8 @@
 const OPERATORS: usize = 0;
 const ENDPOINTS: usize = 1;
 
-fn domain(place: usize) -> String {
-    ["a", "b", "c"][place % 3].to_string()
+fn domain(index: usize) -> String {
+    ["a", "b", "c"][index % 3].to_string()
 }
 
 fn engine_name(engine: usize) -> String {
@@ -149,37 +149,37 @@
 }
 
 impl Instance {
-    fn new(place: usize, incarnation: u64, booted: u64) -> Self {
+    fn new(index: usize, incarnation: u64, booted_at: u64) -> Self {
         let random = SmallRng::seed_from_u64(incarnation);
         Self {
-            booted,
+            booted_at,
             cut_until: 0,
             frozen_until: 0,
-            heard: [EchoTimestamp::default(); INSTANCES],
+            echoes: [EchoTimestamp::default(); INSTANCES],
             left: [None; ENGINES],
             incarnation,
             pending: [None; 2],
             position: [0; 2],
-            proven: [None; 2],
-            state: State::new(settings(&domain(place)), random),
+            confirmed: [None; 2],
+            state: State::new(settings(&domain(index)), random),
             version: 0,
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// A deployment at its start: all keys are held, all engines listed.
     pub fn new(seed: u64) -> Self {
         let instances = (0..INSTANCES)
-            .map(|place| Instance::new(place, seed.wrapping_add(place as u64), 0))
+            .map(|index| Instance::new(index, seed.wrapping_add(index as u64), 0))
             .collect();
         let mut world = Self {
             started_at: 1,
             disabled_domains: [None; 3],
             instances,
             keys: [(true, 0); KEYS],
-            letters: Vec::new(),
-            lives: INSTANCES as u64,
+            messages: Vec::new(),
+            incarnations: INSTANCES as u64,
             log: [Vec::new(), Vec::new()],
             now: 0,
             sends: Vec::new(),
@@ -196,133 +196,133 @@
     pub fn step(&mut self, op: Op) {
         match op {
             Op::Tick(millis) => self.tick(millis),
-            Op::Freeze(place, millis) => {
+            Op::Freeze(index, millis) => {
                 let until = self.now + millis;
-                let instance = &mut self.instances[place];
+                let instance = &mut self.instances[index];
                 instance.frozen_until = instance.frozen_until.max(until);
             }
-            Op::Cut(place, millis) => {
+            Op::Cut(index, millis) => {
                 let until = self.now + millis;
-                let instance = &mut self.instances[place];
+                let instance = &mut self.instances[index];
                 instance.cut_until = instance.cut_until.max(until);
             }
-            Op::Ask(place, topic) => self.ask(place, topic),
-            Op::Answer(place, topic) => self.answer(place, topic),
-            Op::Tell(from, to, way, records) => self.tell(from, to, way, records),
+            Op::Ask(index, topic) => self.ask(index, topic),
+            Op::Answer(index, topic) => self.answer(index, topic),
+            Op::Report(from, to, delay_ms, records) => self.report(from, to, delay_ms, records),
             Op::Key(key, held) => {
                 if self.keys[key].0 != held {
                     self.keys[key] = (held, self.now);
                     self.publish();
                 }
             }
-            Op::Domain(place, out) => {
-                if self.disabled_domains[place].is_some() != out {
-                    self.disabled_domains[place] = out.then_some(self.now);
-                    self.log[OPERATORS].push(Fact::Domain(domain(place), out));
+            Op::Domain(index, out) => {
+                if self.disabled_domains[index].is_some() != out {
+                    self.disabled_domains[index] = out.then_some(self.now);
+                    self.log[OPERATORS].push(Record::Domain(domain(index), out));
                 }
             }
-            Op::Hear(place, from) => {
-                self.instances[place].heard[from] = EchoTimestamp {
+            Op::Echo(index, from) => {
+                self.instances[index].echoes[from] = EchoTimestamp {
                     at: self.local(from),
                     incarnation: self.instances[from].incarnation,
                 };
             }
             Op::Leave(engine) => self.list(engine, true),
-            Op::PowerLoss(place) => {
-                self.lives += 1;
-                self.instances[place] = Instance::new(place, self.lives, self.now);
+            Op::PowerLoss(index) => {
+                self.incarnations += 1;
+                self.instances[index] = Instance::new(index, self.incarnations, self.now);
             }
             Op::Vanish(engine) => {
                 let gone = Change::Removed(engine_name(engine));
-                self.log[ENDPOINTS].push(Fact::Endpoint(gone));
+                self.log[ENDPOINTS].push(Record::Endpoint(gone));
             }
             Op::Start(engine) => {
                 self.started_at += 1;
                 self.list(engine, false);
             }
-            Op::Request(place, key) => self.request(place, key),
+            Op::Request(index, key) => self.request(index, key),
         }
     }
 
     /// The present by an instance's own clock.
-    fn local(&self, place: usize) -> Time {
-        at(self.now - self.instances[place].booted)
+    fn local(&self, index: usize) -> Time {
+        at(self.now - self.instances[index].booted_at)
     }
 
-    fn awake(&self, place: usize) -> bool {
-        self.now >= self.instances[place].frozen_until
+    fn awake(&self, index: usize) -> bool {
+        self.now >= self.instances[index].frozen_until
     }
 
-    fn connected(&self, place: usize) -> bool {
-        self.now >= self.instances[place].cut_until
+    fn connected(&self, index: usize) -> bool {
+        self.now >= self.instances[index].cut_until
     }
 
     fn publish(&mut self) {
         self.version += 1;
         let held = (0..KEYS).filter(|key| self.keys[*key].0).map(key_name);
         let config = config_with(self.version, held.collect());
-        self.log[OPERATORS].push(Fact::Configure(config));
+        self.log[OPERATORS].push(Record::Configure(config));
     }
 
     fn list(&mut self, engine: usize, leaving: bool) {
         let mut listing = listing(&engine_name(engine), "model", &domain(engine));
         listing.leaving = leaving;
         listing.started_at = Some(self.started_at);
-        self.log[ENDPOINTS].push(Fact::Endpoint(Change::Set(listing)));
+        self.log[ENDPOINTS].push(Record::Endpoint(Change::Set(listing)));
     }
 
     fn tick(&mut self, millis: u64) {
         self.now += millis;
-        for place in 0..INSTANCES {
-            if self.awake(place) {
-                let now = self.local(place);
-                self.instances[place].state.tick(now);
+        for index in 0..INSTANCES {
+            if self.awake(index) {
+                let now = self.local(index);
+                self.instances[index].state.tick(now);
             }
         }
-        let mut letters = std::mem::take(&mut self.letters);
-        letters.retain(|letter| {
-            if letter.arrives > self.now || !self.awake(letter.to) {
+        let mut messages = std::mem::take(&mut self.messages);
+        messages.retain(|message| {
+            if message.arrives > self.now || !self.awake(message.to) {
                 return true;
             }
-            self.read_letter(letter);
+            self.deliver(message);
             false
         });
-        self.letters = letters;
+        self.messages = messages;
     }
 
-    fn ask(&mut self, place: usize, topic: usize) {
-        if !self.awake(place) || !self.connected(place) {
+    fn ask(&mut self, index: usize, topic: usize) {
+        if !self.awake(index) || !self.connected(index) {
             return;
         }
         let end = self.log[topic].len();
         let asked = self.now;
-        self.instances[place].pending[topic].get_or_insert(Answer { asked, end });
+        self.instances[index].pending[topic].get_or_insert(Answer { asked, end });
     }
 
     /// An answer may have waited in a buffer for as long as its instance was cut or frozen.
-    fn answer(&mut self, place: usize, topic: usize) {
-        if !self.awake(place) || !self.connected(place) {
+    fn answer(&mut self, index: usize, topic: usize) {
+        if !self.awake(index) || !self.connected(index) {
             return;
         }
-        let Some(answer) = self.instances[place].pending[topic].take() else {
+        let Some(answer) = self.instances[index].pending[topic].take() else {
             return;
         };
-        self.learn(place, topic, answer.end);
-        self.prove(place, topic, answer.asked);
+        self.apply_records(index, topic, answer.end);
+        self.confirm(index, topic, answer.asked);
     }
 
-    fn learn(&mut self, place: usize, topic: usize, end: usize) {
-        let now = self.local(place);
-        let instance = &mut self.instances[place];
+    fn apply_records(&mut self, index: usize, topic: usize, end: usize) {
+        let now = self.local(index);
+        let instance = &mut self.instances[index];
         for fact in &self.log[topic][instance.position[topic].min(end)..end] {
             match fact.clone() {
-                Fact::Configure(config) => {
+                Record::Configure(config) => {
                     instance.state.configure(config);
                 }
-                Fact::Domain(domain, out) => {
+                Record::Domain(domain, out) => {
                     instance.state.set_domain(&domain, out);
                 }
-                Fact::Endpoint(change) => {
+                Record::Endpoint(change) => {
                     let (engine, left) = match &change {
                         Change::Removed(name) => (engine_of(name), Some((self.now, false))),
                         Change::Set(listing) if listing.leaving => {
@@ -341,11 +341,11 @@
         instance.position[topic] = instance.position[topic].max(end);
     }
 
-    fn prove(&mut self, place: usize, topic: usize, asked: u64) {
-        let now = self.local(place);
-        let instance = &mut self.instances[place];
-        instance.proven[topic] = instance.proven[topic].max(Some(asked));
-        let asked = at(asked.saturating_sub(instance.booted));
+    fn confirm(&mut self, index: usize, topic: usize, asked: u64) {
+        let now = self.local(index);
+        let instance = &mut self.instances[index];
+        instance.confirmed[topic] = instance.confirmed[topic].max(Some(asked));
+        let asked = at(asked.saturating_sub(instance.booted_at));
         if topic == OPERATORS {
             instance.state.config_freshness.confirm(asked);
         } else {
@@ -354,50 +354,50 @@
     }
 
     /// `from` says how old its knowledge is, with the number that it heard last from `to`.
-    fn tell(&mut self, from: usize, to: usize, way: u64, records: bool) {
+    fn report(&mut self, from: usize, to: usize, delay_ms: u64, records: bool) {
         if from == to || !self.awake(from) || !self.awake(to) {
             return;
         }
-        let teller = &self.instances[from];
-        let age = teller.state.config_freshness.age(self.local(from));
-        self.letters.push(Letter {
-            arrives: self.now + way,
-            echo: teller.heard[to],
-            records: records.then_some(teller.position[OPERATORS]),
+        let sender = &self.instances[from];
+        let age = sender.state.config_freshness.age(self.local(from));
+        self.messages.push(Message {
+            arrives: self.now + delay_ms,
+            echo: sender.echoes[to],
+            records: records.then_some(sender.position[OPERATORS]),
             to,
-            word: Watermark {
+            watermark: Watermark {
                 age,
-                position: teller.position[OPERATORS] as u64,
+                position: sender.position[OPERATORS] as u64,
             },
         });
     }
 
-    fn read_letter(&mut self, letter: &Letter) {
-        if let Some(end) = letter.records {
-            self.learn(letter.to, OPERATORS, end);
+    fn deliver(&mut self, message: &Message) {
+        if let Some(end) = message.records {
+            self.apply_records(message.to, OPERATORS, end);
         }
-        let position = self.instances[letter.to].position[OPERATORS] as u64;
-        let Instance { booted, incarnation, .. } = self.instances[letter.to];
-        if let Some(asked) = letter.word.confirms(letter.echo, incarnation, position) {
-            self.prove(letter.to, OPERATORS, booted + asked.micros() / 1000);
+        let position = self.instances[message.to].position[OPERATORS] as u64;
+        let Instance { booted_at, incarnation, .. } = self.instances[message.to];
+        if let Some(asked) = message.watermark.confirms(message.echo, incarnation, position) {
+            self.confirm(message.to, OPERATORS, booted_at + asked.micros() / 1000);
         }
     }
 
-    fn request(&mut self, place: usize, key: usize) {
-        if !self.awake(place) {
+    fn request(&mut self, index: usize, key: usize) {
+        if !self.awake(index) {
             return;
         }
-        let now = self.local(place);
+        let now = self.local(index);
         let mut inbound = inbound("/draft/x", now);
         inbound.key = Some(key_name(key));
-        match self.instances[place].state.admit(now, &inbound) {
-            Ok(ticket) => self.send(place, key, &ticket),
-            Err(refusal) => self.check_refusal(place, key, refusal),
+        match self.instances[index].state.admit(now, &inbound) {
+            Ok(ticket) => self.send(index, key, &ticket),
+            Err(refusal) => self.check_refusal(index, key, refusal),
         }
     }
 
-    fn send(&mut self, place: usize, key: usize, ticket: &Ticket) {
-        let instance = &mut self.instances[place];
+    fn send(&mut self, index: usize, key: usize, ticket: &Ticket) {
+        let instance = &mut self.instances[index];
         assert!(
             ticket.version >= instance.version,
             "a version was taken back"
@@ -405,12 +405,12 @@
         instance.version = ticket.version;
         let (held, since) = self.keys[key];
         assert!(
-            held || self.now <= since + REVOCATION,
+            held || self.now <= since + REVOCATION_MS,
             "a request ran {} ms after its key was taken away",
             self.now - since
         );
-        let now = self.local(place);
-        let instance = &mut self.instances[place];
+        let now = self.local(index);
+        let instance = &mut self.instances[index];
         let Pick::Send(endpoint, copy) = instance.state.pick(now, &ticket.service, LONG, &[])
         else {
             return;
@@ -420,54 +420,54 @@
         state.endpoint_mut(endpoint).expect("picked").rate_limiter.record_send(now);
         let copy = copy.map(|copy| id(&instance.state, copy));
         let engine = engine_of(&name);
-        self.check_place(place, engine);
+        self.check_endpoint(index, engine);
         if let Some(copy) = copy {
-            self.check_place(place, engine_of(&copy));
+            self.check_endpoint(index, engine_of(&copy));
         }
         self.sends.push((engine, self.now));
-        self.check_pace(engine);
+        self.check_rate(engine);
     }
 
     /// Nothing goes to an engine that the instance had to know to be leaving, or to a
     /// domain that it had to know to be out.
-    fn check_place(&self, place: usize, engine: usize) {
-        let proven = self.instances[place].proven[OPERATORS];
+    fn check_endpoint(&self, index: usize, engine: usize) {
+        let confirmed = self.instances[index].confirmed[OPERATORS];
         if let Some(since) = self.disabled_domains[engine % 3] {
-            let known = proven.is_some_and(|asked| asked > since);
+            let known = confirmed.is_some_and(|asked| asked > since);
             assert!(!known, "sent to a domain that is out");
         }
-        if let Some((since, announced)) = self.instances[place].left[engine] {
-            let doubted = !announced && self.now < since + DOUBT;
+        if let Some((since, announced)) = self.instances[index].left[engine] {
+            let doubted = !announced && self.now < since + MAX_REMOVAL_DELAY_MS;
             assert!(doubted, "sent to an engine that left");
         }
     }
 
-    fn check_pace(&self, engine: usize) {
+    fn check_rate(&self, engine: usize) {
         let recent = self
             .sends
             .iter()
             .filter(|(other, sent)| *other == engine && *sent + 1000 > self.now);
-        assert!(recent.count() <= COLD_RATE, "a cold engine is overrun");
+        assert!(recent.count() <= COLD_RATE_PER_S, "a cold engine is overrun");
     }
 
-    fn check_refusal(&self, place: usize, key: usize, refusal: Refusal) {
+    fn check_refusal(&self, index: usize, key: usize, refusal: Refusal) {
         assert!(refusal.not_run(), "nothing was sent, yet {refusal:?}");
         let (held, since) = self.keys[key];
-        let proven = self.instances[place].proven[OPERATORS];
+        let confirmed = self.instances[index].confirmed[OPERATORS];
         match refusal {
             Refusal::UnknownKey => assert!(
-                !held || self.now <= since + APPLIED,
+                !held || self.now <= since + MAX_APPLY_DELAY_MS,
                 "a key that has been held for {} ms is unknown",
                 self.now - since
             ),
             Refusal::Stale => assert!(
-                proven.is_none_or(|asked| asked + OWED < self.now) || !held || {
-                    let unread = since + APPLIED > self.now;
-                    unread || proven.is_some_and(|asked| asked <= since)
+                confirmed.is_none_or(|asked| asked + MAX_SERVING_AGE_MS < self.now) || !held || {
+                    let unread = since + MAX_APPLY_DELAY_MS > self.now;
+                    unread || confirmed.is_some_and(|asked| asked <= since)
                 },
                 "refused as stale with recent knowledge"
             ),
-            Refusal::Unconfigured => assert!(proven.is_none(), "a configuration was lost"),
+            Refusal::Unconfigured => assert!(confirmed.is_none(), "a configuration was lost"),
             other => panic!("refused as {other:?}"),
         }
     }
