--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be served, and what the truthful answer is if not.
+//! Admission of requests.
 
 use {
     crate::{
@@ -10,23 +10,23 @@
     rand::{RngExt as _, rngs::SmallRng},
 };
 
-/// Margin below the revocation bound, for the way from here to an endpoint.
+/// Margin below the revocation limit for the time a request takes to reach an endpoint.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(300);
 
-/// Age of the configuration up to which a missing route or key is believed missing; a
-/// little below the two seconds in which every instance in touch has a new version.
-/// Beyond it the caller is sent elsewhere, since the newer configuration may have it.
+/// Maximum age of the configuration for rejecting an unknown route or key for good. Every connected
+/// instance has a new version within 2 s; with an older configuration the caller is asked to retry,
+/// since a newer version may have the route or key.
 const MAX_AGE_FOR_NOT_FOUND: Duration = Duration::from_millis(1950);
 
-/// Time for the way, the queue, and everything else that an answer takes.
+/// Time that an answer takes beside prefill and generation, such as network and queueing.
 const ANSWER_OVERHEAD: Duration = Duration::from_millis(400);
 
 impl State {
-    /// Whether a request may be served, and how.
+    /// Admits a request, or rejects it.
     ///
     /// # Errors
     ///
-    /// The truthful refusal; nothing has been sent.
+    /// The reason for the rejection; nothing has been sent to an endpoint.
     pub fn admit(&mut self, now: Time, inbound: &Inbound) -> Result<Ticket, Refusal> {
         let is_recent = self.config_freshness.within(now, MAX_AGE_FOR_NOT_FOUND);
         let not_found = |refusal| if is_recent { refusal } else { Refusal::Stale };
@@ -72,13 +72,13 @@
         })
     }
 
-    /// Admits a request again, by what is known now. It stays with the service that was
-    /// drawn for it as long as its route still goes there; a new draw would send it to an
-    /// endpoint that was chosen for another service.
+    /// Admits a queued request again under the current configuration. It stays with the service
+    /// drawn for it as long as its route includes that service; another one would not match the
+    /// endpoint that was chosen.
     ///
     /// # Errors
     ///
-    /// The truthful refusal.
+    /// The reason for the rejection.
     pub fn readmit(
         &mut self,
         now: Time,
@@ -96,8 +96,8 @@
         Ok(renewed)
     }
 
-    /// Whether callers may be sent here: everything that is needed to serve them is known
-    /// and recent enough.
+    /// Whether the instance is ready: it has a configuration and an endpoint list, and the
+    /// configuration is recent enough to accept keys.
     #[must_use]
     pub fn ready(&self, now: Time) -> bool {
         let bound = self.settings.revocation.saturating_sub(REVOCATION_MARGIN);
@@ -106,21 +106,21 @@
             && self.config_freshness.within(now, bound)
     }
 
-    /// The instance ends at `stops_at`. Requests that would not be answered by then are
-    /// refused: their callers are served by another instance, while an answer that is cut
-    /// off is lost, and a generation cannot be repeated.
+    /// Sets the time at which the instance stops. Requests that may not finish by then are
+    /// rejected, so that callers use another instance; an interrupted generation cannot be
+    /// repeated.
     pub const fn stop(&mut self, stops_at: Time) {
         self.stops_at = Some(stops_at);
     }
 }
 
-/// How long the answer to a request is likely to take, on the safe side.
+/// Upper bound on the time until the answer to a request is complete.
 fn max_duration(route: &Route, inbound: &Inbound) -> Duration {
     if route.kind != Kind::Stream {
         return ANSWER_OVERHEAD.min(route.timeout);
     }
     let prefill = Duration::from_secs_f64(f64::from(inbound.prompt) / PREFILL_TOKENS_PER_MS / 1000.0);
-    // The caller's own estimate is right at the median only; its bound is sure.
+    // The caller's length hint is an estimate that half of all runs exceed; its limit is not.
     let output = if inbound.max_output_tokens == 0 {
         u32::MAX
     } else {
@@ -129,7 +129,7 @@
     prefill + MAX_TOKEN_TIME.saturating_mul(output) + ANSWER_OVERHEAD
 }
 
-/// A service by weight.
+/// Draws a service by weight.
 fn weighted_service(split: &[(String, u32)], random: &mut SmallRng) -> String {
     let sum = split.iter().map(|(_, weight)| *weight).sum::<u32>();
     let mut point = if sum == 0 {
--- a/crates/forward/src/budget.rs
+++ b/crates/forward/src/budget.rs
@@ -1,31 +1,28 @@
-//! Second sends to a service.
+//! Retry budget of each service.
 //!
-//! Endpoints that fail under load are asked again by every request at once and never
-//! recover. The bound holds over all instances together; each uses its own part (its
-//! own first sends times the ratio, and the burst divided by the most instances that
-//! can exist), so no message and no shared view is needed, and a partition breaks
-//! nothing.
+//! Without a limit, retries keep endpoints overloaded that fail under load. The limit holds over
+//! all instances: each uses its own share (its own requests times the ratio, and the burst divided
+//! by the number of instances), so no coordination is needed and a partition changes nothing.
 //!
-//! An instance counts first sends over the window before its own last second send, which
-//! lies anywhere in the joint window. Those of all instances together so spread over two
-//! windows, and only the fuller one counts for the joint bound; hence each may use half
-//! of the ratio.
+//! An instance counts the requests in the window before its own last retry, and these windows may
+//! lie anywhere in the window of the shared limit. Over all instances they cover up to two windows,
+//! so each instance uses half of the ratio.
 
 use {crate::prelude::*, std::collections::VecDeque};
 
-/// First and second sends of one service within the window.
+/// First attempts and retries to one service within the window.
 #[derive(Debug, Default)]
 struct SendHistory {
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
-/// The part of the joint budget that this instance may use, for each service.
+/// This instance's share of the retry budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Of all instances together.
+    /// Over all instances.
     burst: f64,
-    /// Instances that the burst is divided by.
+    /// Number of instances that the burst is divided by.
     instances: u32,
     histories: Vec<(String, SendHistory)>,
     ratio: f64,
@@ -33,7 +30,7 @@
 }
 
 impl RetryBudget {
-    /// The instance's part by its settings.
+    /// A budget by the settings of the instance.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let mut budget = Self {
@@ -47,24 +44,24 @@
         budget
     }
 
-    /// Takes changed settings in; what was sent counts on.
+    /// Applies changed settings; earlier requests and retries still count.
     pub const fn update_settings(&mut self, settings: &Settings) {
         self.burst = settings.retry_burst;
         self.ratio = settings.retry_ratio / 2.0;
         self.window = settings.budget_window;
     }
 
-    /// Divides the burst by this many instances from now on.
+    /// Sets the number of instances that the burst is divided by.
     pub const fn set_instances(&mut self, instances: u32) {
         self.instances = instances;
     }
 
-    /// A request for the service arrived.
+    /// Records a request for the service.
     pub fn record_request(&mut self, service: &str, now: Time) {
         self.history(service, now).requests.push_back(now);
     }
 
-    /// Whether a second send is allowed.
+    /// Whether a retry is allowed.
     pub fn allows_retry(&mut self, service: &str, now: Time) -> bool {
         let (burst, ratio) = (self.burst / f64::from(self.instances), self.ratio);
         let history = self.history(service, now);
@@ -77,12 +74,12 @@
         retries < (requests * ratio + burst).floor()
     }
 
-    /// A second send was made.
+    /// Records a retry.
     pub fn record_retry(&mut self, service: &str, now: Time) {
         self.history(service, now).retries.push_back(now);
     }
 
-    /// The last second send did not reach the endpoint after all.
+    /// Removes the last retry, which did not reach the endpoint.
     pub fn refund_retry(&mut self, service: &str, now: Time) {
         self.history(service, now).retries.pop_back();
     }
@@ -107,7 +104,7 @@
     }
 }
 
-/// Forgets what lies before the window.
+/// Removes times before the window.
 fn drop_expired(times: &mut VecDeque<Time>, since: Time) {
     while times.front().is_some_and(|time| *time < since) {
         times.pop_front();
--- a/crates/forward/src/config.rs
+++ b/crates/forward/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, customers, limits.
+//! Configuration: routes, services, customers, and limits.
 
 use crate::prelude::*;
 
@@ -13,32 +13,32 @@
     Stream,
 }
 
-/// Where requests of one host and path prefix go.
+/// A route: requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Whether requests need no key.
     pub anonymous: bool,
-    /// Longest pause between two events that still counts as on time.
+    /// Longest interval between two events of a stream that counts as on time.
     pub gap: Option<Duration>,
     /// Host, in lower case, without a port.
     pub host: String,
     /// What may be repeated.
     pub kind: Kind,
-    /// Most endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
     /// Name, for logs.
     pub name: String,
     /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// Rank; 0 comes first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Whether a stream may begin again behind any of its events, at any engine.
+    /// Whether a stream may be resumed after any of its events, at any engine.
     pub resumable: bool,
-    /// Services with the weight of each; one entry if traffic is not split.
+    /// Services with their weights; one entry if traffic is not split.
     pub split: Vec<(String, u32)>,
-    /// Time to the answer, or to a stream's first event, that callers hope for.
+    /// Target time to the answer, or to the first event of a stream.
     pub target: Duration,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time until the answer is complete, unless the caller sets an earlier deadline.
     pub timeout: Duration,
 }
 
@@ -54,64 +54,65 @@
     }
 }
 
-/// What a model engine can do, as far as choices depend on it.
+/// Capabilities and capacity of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Whether a run's KV memory can be copied to a second engine while it grows.
+    /// Whether the KV memory of a run can be copied to a second engine while it grows.
     pub backups: bool,
-    /// How long a finished copy is kept without being used.
+    /// How long an engine keeps a finished copy that is not used.
     pub handle_ttl: Duration,
     /// KV memory, in tokens.
     pub kv_tokens: u32,
     /// Whether a run can be moved to another engine.
     pub moves: bool,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// A group of endpoints that do the same work.
+/// A group of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// How long an endpoint is cold after its start.
+    /// Warm-up time of an endpoint after its start, in which it is cold.
     pub cold: Duration,
-    /// Requests a second that a cold endpoint bears; zero if it is never cold.
+    /// Requests per second that a cold endpoint can handle, over all instances; zero if it is never
+    /// cold.
     pub cold_rate: f64,
-    /// Present for model engines.
+    /// Set for model engines.
     pub engine: Option<Engine>,
-    /// Connections that an endpoint accepts from all instances together.
+    /// Maximum number of connections to one endpoint, over all instances.
     pub max_connections: u32,
     /// Name.
     pub name: String,
 }
 
-/// A customer and the keys that speak for it.
+/// A customer and its API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
     /// Keys, sorted.
     pub keys: Vec<String>,
     /// Name.
     pub name: String,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header: usize,
-    /// Longest time for a request's head.
+    /// Timeout for reading a request head.
     pub header_timeout: Duration,
-    /// How long a connection may lie idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds for the time before any configuration is known.
+    /// Limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             body: 4 << 20,
@@ -122,22 +123,22 @@
     }
 }
 
-/// A whole configuration, indexed for lookups.
+/// A complete configuration, indexed for lookups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
     customers: Vec<Customer>,
-    /// Key and place of its customer, sorted by key.
+    /// API key and index of its customer, sorted by key.
     keys: Vec<(String, usize)>,
-    /// Bounds for callers.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
     routes: Vec<Route>,
     services: Vec<Service>,
-    /// Version; a greater one replaces a smaller one.
+    /// Version; a configuration is only replaced by one with a higher version.
     pub version: u64,
 }
 
 impl Config {
-    /// Sorts the parts for lookups.
+    /// Builds the indexes.
     #[must_use]
     pub fn new(
         version: u64,
@@ -173,13 +174,13 @@
         self.customers.get(self.keys[index].1)
     }
 
-    /// Whether requests need keys at all.
+    /// Whether requests need an API key, which is the case if there is any customer.
     #[must_use]
     pub fn requires_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
-    /// The route with the longest prefix of a path, tried from the longest one down.
+    /// The route of a host with the longest prefix that matches the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let mut end = path.len();
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -1,53 +1,54 @@
-//! What is known of one endpoint.
+//! State of one endpoint, as this instance knows it.
 
 use crate::{load::digest, rate_limit::RateLimiter, prelude::*};
 
-/// First pause after an endpoint could not be reached.
+/// Backoff after the first failed connection; it doubles with each failure.
 ///
-/// An engine that is replaced is back after some seconds, and a reset connection says
-/// nothing about the next one, so the pause starts short and doubles.
+/// It is short because a replaced engine is back within seconds and a reset connection may be a
+/// single event.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Longest pause before an unreachable endpoint is tried again.
+/// Maximum backoff before an unreachable endpoint is tried again.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Pause after an endpoint said that it is full; about the time in which a place frees up.
+/// Backoff after an endpoint rejected a request because it is full; about the time in which a slot
+/// becomes free.
 const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Weight of one answer in the running share of failures; about the last ten count.
+/// Weight of the latest answer in the moving average of the failure rate.
 const FAILURE_RATE_WEIGHT: f64 = 0.1;
 
-/// An endpoint as it registered itself.
+/// An endpoint as registered in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
     /// IP address and port.
     pub address: SocketAddr,
-    /// When it started, in its own wall time; tells two lives under one id apart.
+    /// Start time by the endpoint's own clock; a new value for the same id means a restart.
     pub started_at: Option<u64>,
-    /// How much longer it is cold.
+    /// Remaining time for which it is cold.
     pub cold: Duration,
     /// Failure domain.
     pub domain: String,
-    /// Id; the endpoint refuses requests that are meant for another id.
+    /// Id; the endpoint rejects requests that name another id.
     pub id: String,
     /// Whether it is about to leave and takes no new work.
     pub leaving: bool,
     /// Name of its service.
     pub service: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// Work at an endpoint.
+/// Load of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Part of [`Self::tokens`] that copies of runs at other engines need.
+    /// Share of [`Self::tokens`] for copies of runs at other engines.
     pub copies: u32,
-    /// KV memory that its requests are expected to need together, in tokens.
+    /// Expected KV memory of its requests, in tokens.
     pub tokens: u32,
-    /// Prompt tokens of requests that have made no token yet.
+    /// Prompt tokens of requests that have not produced a token yet.
     pub prefill_tokens: u32,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
@@ -60,7 +61,7 @@
         self.requests = self.requests.saturating_add(other.requests);
     }
 
-    /// Takes away a load that was added before.
+    /// Subtracts a load that was added before.
     pub const fn subtract(&mut self, other: Self) {
         self.copies = self.copies.saturating_sub(other.copies);
         self.tokens = self.tokens.saturating_sub(other.tokens);
@@ -69,31 +70,31 @@
     }
 }
 
-/// An endpoint with what this instance has seen of it.
+/// An endpoint with the observations of this instance.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// From when on it may be asked whether it leaves.
+    /// When it may next be probed.
     pub(crate) next_probe_at: Time,
     avoid_until: Time,
-    /// Digest of its id, by which reports name it.
+    /// Digest of its id, which identifies it in load reports.
     pub digest: u32,
-    /// Until when a lapsed entry may still come back; the endpoint stays usable until then.
+    /// End of the grace period after its entry was removed; the endpoint stays usable until then.
     pub grace_until: Option<Time>,
     failures: u32,
-    /// Running share of answers that were failures, 0 to 1.
+    /// Moving average of the share of failed answers, from 0 to 1.
     pub failure_rate: f64,
-    /// Plain requests of this instance in progress there.
+    /// Requests of this instance in progress there, without runs.
     pub in_flight: u32,
     /// Its entry, as last read.
     pub listing: Listing,
-    /// Sends of the last second.
+    /// Limits the requests per second that this instance sends there.
     pub rate_limiter: RateLimiter,
-    /// Since when it takes no new work.
+    /// When this instance learned that it is leaving.
     pub leaving_since: Option<Time>,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing but its entry is known.
+    /// An endpoint without observations.
     #[must_use]
     pub fn new(listing: Listing, now: Time) -> Self {
         Self {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Takes a newer entry in; a new life under the same id starts with a clean record.
+    /// Applies an updated entry; a restart resets backoff and failure rate.
     pub fn update(&mut self, listing: Listing, now: Time) {
         if listing.started_at != self.listing.started_at || listing.address != self.listing.address {
             self.avoid_until = Time::default();
@@ -126,29 +127,29 @@
         self.listing = listing;
     }
 
-    /// Whether new work may go there.
+    /// Whether it may get new work.
     #[must_use]
     pub fn usable(&self, now: Time) -> bool {
         self.leaving_since.is_none() && now >= self.avoid_until
     }
 
-    /// It said that it leaves.
+    /// Records that it is leaving.
     pub fn mark_leaving(&mut self, now: Time) {
         self.leaving_since.get_or_insert(now);
     }
 
-    /// It answered, well or with a failure of its own.
+    /// Records an answer, successful or failed.
     pub fn record_answer(&mut self, failed: bool) {
         self.failures = 0;
         self.failure_rate += FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
-    /// It said that it is full.
+    /// Records that it rejected a request because it is full.
     pub fn mark_full(&mut self, now: Time) {
         self.avoid_until = self.avoid_until.max(now.after(FULL_BACKOFF));
     }
 
-    /// It could not be reached, fell silent, or is another one than expected.
+    /// Records that it could not be connected to, timed out, or answered under another id.
     pub fn mark_unreachable(&mut self, now: Time) {
         let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,9 +1,7 @@
 //! Decisions about requests that are forwarded by host and path.
 //!
-//! The package is pure: the present time is an argument, randomness comes from a
-//! generator that is passed in, and nothing here opens a socket or reads a clock.
-//! [`State`] owns what an instance knows; its parts are plain structs that tests
-//! drive without a network.
+//! This crate does no I/O: the current time is an argument, randomness comes from a generator that
+//! the caller passes in. [`State`] holds what an instance knows.
 
 pub mod admission;
 pub mod aggregate;
--- a/crates/forward/src/load.rs
+++ b/crates/forward/src/load.rs
@@ -1,40 +1,38 @@
-//! Load of endpoints over all instances.
+//! Load of endpoints over all instances, from the reports of peers.
 //!
-//! Every request to an endpoint passes through some instance, so what the instances
-//! have in progress tells more than a load report, which is late and costs a call.
+//! Every request passes through an instance, so the requests in progress there are more current
+//! than load reports of the endpoints, and cost no call.
 
 use crate::{endpoint::Load, prelude::*};
 
-/// After this long without a word, a fellow's load no longer counts. Several exchanges
-/// fit into it, and what it had in progress then is mostly done.
+/// Time without a report after which the load of a peer no longer counts. Long enough for several
+/// reports; most of the reported work has ended by then.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Load that one instance has at endpoints, sorted by the digest of the endpoint's id.
+/// Load of one instance by the digest of the endpoint id, sorted by digest.
 pub type Report = Vec<(u32, Load)>;
 
-/// Digest of an endpoint's id. Reports name endpoints by it, since an id is several times
-/// as long; among 2,200 endpoints two share one in one system of 1,800, and then a load
-/// is counted at both.
+/// Digest of an endpoint id, which is shorter than the id in reports. If two ids collide, the load
+/// of both counts at each.
 #[must_use]
 pub fn digest(id: &str) -> u32 {
     let bytes = *blake3::hash(id.as_bytes()).as_bytes();
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// What one fellow reported last.
+/// Last report of one peer.
 #[derive(Debug)]
 struct PeerReport {
     at: Time,
     name: String,
     number: u64,
-    /// Empty once it has outlived [`REPORT_LIFETIME`].
+    /// Emptied after [`REPORT_LIFETIME`].
     report: Report,
 }
 
-/// What the other instances have in progress.
+/// Load of the other instances, from their reports.
 ///
-/// The sum over all fellows is kept up to date with each report, so that a choice costs
-/// one search for each endpoint and not one for each fellow at each endpoint.
+/// The sum is updated with each report, so that a lookup does not depend on the number of peers.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     /// Sorted by name.
@@ -44,8 +42,7 @@
 }
 
 impl PeerLoads {
-    /// Takes the report of a fellow in; one that was overtaken by a later one changes
-    /// nothing.
+    /// Applies the report of a peer, unless a later one was applied already.
     pub fn update(&mut self, name: &str, at: Time, number: u64, mut report: Report) {
         report.sort_by_key(|(digest, _)| *digest);
         let index = match self
@@ -73,7 +70,7 @@
         self.add(&report);
     }
 
-    /// A fellow has started anew; its reports are numbered from the start again.
+    /// Removes the report of a peer that has restarted, whose report numbers start again.
     pub fn forget(&mut self, name: &str) {
         let index = self
             .reports
@@ -84,7 +81,7 @@
         }
     }
 
-    /// What a fellow reported last.
+    /// Last report of a peer.
     #[must_use]
     pub fn report(&self, name: &str) -> &[(u32, Load)] {
         let index = self
@@ -99,14 +96,14 @@
         &self.sums
     }
 
-    /// Load of all fellows at an endpoint.
+    /// Load of all peers at an endpoint.
     #[must_use]
     pub fn at(&self, digest: u32) -> Load {
         let index = self.sums.binary_search_by_key(&digest, |(other, _)| *other);
         index.map_or_else(|_| Load::default(), |index| self.sums[index].1)
     }
 
-    /// Number of fellows heard of within the last two seconds.
+    /// Number of peers whose report is recent enough to count.
     #[must_use]
     pub fn count(&self, now: Time) -> usize {
         let current = self
@@ -116,7 +113,7 @@
         current.count()
     }
 
-    /// Drops the load of fellows that have been silent for too long.
+    /// Drops the load of peers whose report is too old.
     pub fn expire(&mut self, now: Time) {
         let mut expired = Vec::new();
         for peer in &mut self.reports {
--- a/crates/forward/src/prelude.rs
+++ b/crates/forward/src/prelude.rs
@@ -1,4 +1,4 @@
-//! Names that most modules of this package use.
+//! Items that most modules of this crate use.
 
 pub use {
     crate::{
@@ -14,8 +14,8 @@
 };
 
 slotmap::new_key_type! {
-    /// An endpoint in the arena of [`crate::State`].
+    /// Key of an endpoint in [`crate::State`].
     pub struct EndpointKey;
-    /// A generation in progress in the arena of [`crate::State`].
+    /// Key of a run in [`crate::State`].
     pub struct RunKey;
 }
--- a/crates/forward/src/rate_limit.rs
+++ b/crates/forward/src/rate_limit.rs
@@ -1,26 +1,25 @@
-//! Sends per second to one endpoint.
+//! Rate limit for requests to one endpoint.
 //!
-//! An endpoint that is cold bears a stated number of requests a second from all
-//! instances together and falls over above that. It can turn cold without a word, so
-//! the part of each instance is kept to at every endpoint of a service that can be
-//! cold, all the time.
+//! A cold endpoint fails above a configured rate over all instances, and may turn cold without
+//! notice. Each instance therefore always keeps to its share of that rate for services that can be
+//! cold.
 
 use {crate::prelude::*, std::collections::VecDeque};
 
-/// Any span of this length counts.
+/// Length of the sliding window.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Margin for sends that leave one after the other and arrive together.
+/// Margin for requests that arrive closer together than they were sent.
 const ARRIVAL_JITTER: Duration = Duration::from_millis(100);
 
-/// Sends of the last second to one endpoint.
+/// Requests that were sent to one endpoint within the window.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimiter {
     sent: VecDeque<Time>,
 }
 
 impl RateLimiter {
-    /// Whether one more send stays within `max_sends` a second.
+    /// Whether one more request stays within `max_sends` per second.
     #[must_use]
     pub fn allows(&self, now: Time, max_sends: usize) -> bool {
         let since = now.before(WINDOW + ARRIVAL_JITTER);
@@ -28,7 +27,7 @@
         recent.count() < max_sends
     }
 
-    /// A request was sent.
+    /// Records a request.
     pub fn record_send(&mut self, now: Time) {
         let since = now.before(WINDOW + ARRIVAL_JITTER);
         while self.sent.front().is_some_and(|sent| *sent <= since) {
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -1,20 +1,20 @@
-//! Figures that an instance decides by, from its settings file.
+//! Settings that decisions depend on.
 
 use crate::prelude::*;
 
-/// Bounds of the deployment and the parts of joint limits that this instance may use.
+/// Limits of the deployment, and what this instance needs to compute its share of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Window of [`Self::retry_ratio`].
+    /// Length of the window over which [`Self::retry_ratio`] and [`Self::retry_burst`] apply.
     pub budget_window: Duration,
     /// Failure domain of this instance.
     pub domain: String,
-    /// Most instances that may exist at once; static parts of joint limits divide by it.
+    /// Maximum number of instances; shared limits are divided by it.
     pub max_instances: u32,
-    /// Second sends to a service within the window beyond the ratio, over all instances.
+    /// Retries to a service within the window beyond the ratio, over all instances.
     pub retry_burst: f64,
-    /// Second sends to a service for each first one, over all instances.
+    /// Retries to a service per first attempt, over all instances.
     pub retry_ratio: f64,
-    /// After this long without proof that a key still holds, nothing runs under it.
+    /// Age of the configuration from which on its API keys are no longer accepted.
     pub revocation: Duration,
 }
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -1,6 +1,6 @@
-//! Everything an instance knows, and how that changes.
+//! State of an instance, and how it changes.
 //!
-//! What is decided on it stands in [`crate::admission`] and [`crate::choice`].
+//! Decisions on it are in [`crate::admission`] and [`crate::choice`].
 
 use {
     crate::{
@@ -15,34 +15,34 @@
     slotmap::SlotMap,
 };
 
-/// A list read after this long without proof means that the store had been away.
+/// Age of the endpoint list at which the store counts as having been unreachable.
 const STORE_OUTAGE_THRESHOLD: Duration = Duration::from_secs(3);
 
-/// Time in which entries that lapsed while the store was away come back.
+/// Time that endpoints get to register again after the store was unreachable.
 const REREGISTRATION_GRACE: Duration = Duration::from_secs(2);
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The entry of an id is gone.
+    /// The entry with this id was removed.
     Removed(String),
-    /// An entry is new or has changed.
+    /// An entry was added or updated.
     Set(Listing),
 }
 
-/// Everything an instance knows.
+/// What an instance knows.
 #[derive(Debug)]
 pub struct State {
-    /// Budget for second sends.
+    /// Budget for retries.
     pub budget: RetryBudget,
     pub(crate) config: Option<Config>,
     /// Age of the configuration.
     pub config_freshness: Freshness,
     disabled_domains: Vec<String>,
     pub(crate) endpoints: SlotMap<EndpointKey, Endpoint>,
-    /// Load of other instances, by their own reports.
+    /// Load of other instances, from their own reports.
     pub peer_loads: PeerLoads,
-    /// Instances that joint limits are divided by.
+    /// Number of instances that shared limits are divided by.
     pub(crate) instances: u32,
     /// Age of the endpoint list.
     pub list_freshness: Freshness,
@@ -53,13 +53,13 @@
     pub(crate) settings: Settings,
     pub(crate) stops_at: Option<Time>,
     store_recovered_at: Option<Time>,
-    /// Load of other instances, by sums.
+    /// Load of other instances, from sums of aggregators.
     pub sums: Sums,
     waiting: Vec<QueuePosition>,
     next_turn: u64,
 }
 
-/// Place in the queue of a service: the rank of a request, then its turn.
+/// Position in the queue of a service, ordered by priority, then by arrival.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QueuePosition {
     priority: u8,
@@ -68,7 +68,7 @@
 }
 
 impl State {
-    /// An instance that knows nothing yet.
+    /// An instance without any knowledge yet.
     #[must_use]
     pub fn new(settings: Settings, random: SmallRng) -> Self {
         Self {
@@ -92,18 +92,18 @@
         }
     }
 
-    /// Takes changed settings in.
+    /// Applies changed settings.
     pub fn update_settings(&mut self, settings: Settings) {
         self.budget.update_settings(&settings);
         self.instances = self.instances.max(settings.max_instances);
         self.settings = settings;
     }
 
-    /// So many instances have published themselves.
+    /// Updates the number of registered instances.
     ///
-    /// Joint limits are divided by a quarter more, for those that have not been heard of
-    /// yet, and never by less than the settings say. Entries of instances that are gone
-    /// stay for minutes, which errs on the safe side.
+    /// Shared limits are divided by 25 % more, to allow for instances that are not visible yet, and
+    /// never by less than the configured maximum. Entries of stopped instances remain for minutes,
+    /// which only makes the shares smaller.
     pub fn count_instances(&mut self, published: usize) {
         let published = u32::try_from(published).unwrap_or(u32::MAX);
         let instances = published.saturating_add(published.div_ceil(4));
@@ -111,7 +111,7 @@
         self.budget.set_instances(self.instances);
     }
 
-    /// Takes a configuration in unless it is older than the one in force.
+    /// Replaces the configuration unless the new one is older; returns whether it did.
     pub fn configure(&mut self, config: Config) -> bool {
         if self
             .config
@@ -124,13 +124,13 @@
         true
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     #[must_use]
     pub const fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
 
-    /// Takes a failure domain out, or back in. Returns whether that changed anything.
+    /// Disables or enables a failure domain; returns whether that changed anything.
     pub fn set_domain(&mut self, domain: &str, disabled: bool) -> bool {
         let index = self
             .disabled_domains
@@ -145,15 +145,15 @@
         true
     }
 
-    /// Failure domains that are taken out, sorted.
+    /// Disabled failure domains, sorted.
     #[must_use]
     pub fn disabled_domains(&self) -> &[String] {
         &self.disabled_domains
     }
 
-    /// The list was complete when its question was sent at `asked`.
+    /// Records that the endpoint list was complete at `asked`, when the store was queried.
     pub fn confirm_list(&mut self, now: Time, asked: Time) {
-        // The first proof of all is a start, not a return: what vanishes then has left.
+        // The first read after a start is not a recovery: an entry that is removed then has left.
         let age = self.list_freshness.age(now);
         if age.is_some_and(|age| age > STORE_OUTAGE_THRESHOLD) {
             self.store_recovered_at = Some(now);
@@ -161,7 +161,7 @@
         self.list_freshness.confirm(asked);
     }
 
-    /// Takes a change of the list in.
+    /// Applies a change of the endpoint list.
     pub fn change(&mut self, now: Time, change: Change) {
         match change {
             Change::Removed(id) => self.remove_listing(now, &id),
@@ -174,8 +174,8 @@
         }
     }
 
-    /// An entry is gone: at once, or with a delay if the store was away, since entries
-    /// lapse meanwhile though their endpoints live.
+    /// Handles a removed entry. If the store was unreachable the removal is delayed, since entries
+    /// of live endpoints expire in such an outage.
     fn remove_listing(&mut self, now: Time, id: &str) {
         let store_unreachable = !self.list_freshness.within(now, STORE_OUTAGE_THRESHOLD);
         let recovered_at = self
@@ -198,15 +198,15 @@
         endpoint.leaving_since.get_or_insert(now);
     }
 
-    /// Names of all endpoints that the list still shows.
+    /// Ids of all known endpoints.
     #[must_use]
     pub fn listed(&self) -> Vec<String> {
         let listed = self.endpoints.values();
         listed.map(|endpoint| endpoint.listing.id.clone()).collect()
     }
 
-    /// Settles doubts that have lasted long enough, and forgets endpoints that left and the
-    /// load of silent fellows.
+    /// Applies delayed removals, drops endpoints that have left, and expires the load of silent
+    /// peers.
     pub fn tick(&mut self, now: Time) {
         self.peer_loads.expire(now);
         for endpoint in self.endpoints.values_mut() {
@@ -230,7 +230,7 @@
         });
     }
 
-    /// Takes a place in the queue of a service.
+    /// Adds a request to the queue of its service.
     pub fn enqueue(&mut self, ticket: &Ticket) -> QueuePosition {
         self.next_turn += 1;
         let position = QueuePosition {
@@ -242,18 +242,18 @@
         position
     }
 
-    /// Leaves the queue.
+    /// Removes a request from the queue.
     pub fn dequeue(&mut self, position: &QueuePosition) {
         self.waiting.retain(|other| other != position);
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub const fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether another request of the service comes first.
+    /// Whether another queued request of the service comes first.
     #[must_use]
     pub fn is_preceded(&self, position: &QueuePosition) -> bool {
         self.waiting.iter().any(|other| {
@@ -262,7 +262,7 @@
         })
     }
 
-    /// Whether the failure domain is taken out.
+    /// Whether the failure domain is disabled.
     #[must_use]
     pub fn is_disabled(&self, domain: &str) -> bool {
         let found = self
@@ -271,7 +271,7 @@
         found.is_ok()
     }
 
-    /// A service of the configuration in force.
+    /// A service of the current configuration.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.config.as_ref()?.service(name)
@@ -283,7 +283,7 @@
         self.endpoints.get(key)
     }
 
-    /// An endpoint, to note what was seen of it.
+    /// An endpoint, to record observations.
     pub fn endpoint_mut(&mut self, key: EndpointKey) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(key)
     }
@@ -293,7 +293,7 @@
         self.endpoints.iter()
     }
 
-    /// Notes a generation.
+    /// Adds a run.
     pub fn begin(&mut self, run: Run) -> RunKey {
         self.runs.insert(run)
     }
@@ -309,12 +309,12 @@
         self.runs.get(key)
     }
 
-    /// A generation has ended.
+    /// Removes a run that has ended.
     pub fn end(&mut self, key: RunKey) {
         self.runs.remove(key);
     }
 
-    /// Whether the engine of a generation is leaving, so that it has to go on elsewhere.
+    /// Whether the engine of a run is leaving, so that the run has to move.
     #[must_use]
     pub fn must_move(&self, run: RunKey) -> bool {
         let run = self.runs.get(run);
@@ -322,10 +322,10 @@
         endpoint.is_some_and(|endpoint| endpoint.leaving_since.is_some())
     }
 
-    /// Whether a generation may go on at an engine that holds its copy.
+    /// Whether a run may continue at the engine that holds its copy.
     ///
-    /// An engine that is leaving still works for a while, and may be all that is left of
-    /// the run; a failure domain that was taken out gets nothing more.
+    /// An engine that has just started to leave still qualifies, since it may hold the only copy.
+    /// An engine of a disabled failure domain does not.
     #[must_use]
     pub fn may_continue_at(&self, now: Time, key: EndpointKey) -> bool {
         self.endpoints.get(key).is_some_and(|endpoint| {
@@ -336,8 +336,7 @@
         })
     }
 
-    /// The engine that holds a generation's copy, if the generation should go on there
-    /// though its own engine still works.
+    /// The engine that holds the copy of a run, if it takes new work.
     #[must_use]
     pub fn healthy_backup(&self, now: Time, run: RunKey) -> Option<EndpointKey> {
         let backup = self.runs.get(run)?.backup?;
@@ -352,9 +351,9 @@
     }
 }
 
-/// How long after its leaving became known an engine may still be sent to. The bound
-/// of two seconds counts from the leaving itself, which was known up to a second later.
+/// How long an engine may still be used after this instance learned that it is leaving. Engines
+/// must get no work 2 s after they start to leave, which may be known up to 1 s late.
 const LEAVING_GRACE: Duration = Duration::from_millis(900);
 
-/// How long an endpoint that left is remembered.
+/// How long an endpoint that has left is remembered.
 const LEFT_ENDPOINT_RETENTION: Duration = Duration::from_secs(30);
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -92,10 +92,10 @@
     assert_eq!(count(Cause::Old), 3);
 }
 
-/// The store turns the reader away, and a fellow has taken its place. The one that was
+/// The store turns the reader away, and a fellow has taken its index. The one that was
 /// turned away must leave the store alone, or it asks in vain for as long as that lasts.
 #[test]
-fn a_reader_that_is_turned_away_gives_up_its_place() {
+fn a_reader_that_is_turned_away_gives_up_its_index() {
     for name in NAMES {
         let readers = peers_up_to_date(name, 9000);
         assert!(!readers.is_reader(own(name, 6000, 7), at(9000)), "{name}");
@@ -222,19 +222,19 @@
     let names = (0..30)
         .map(|number| format!("e{number}"))
         .collect::<Vec<_>>();
-    let aggregates = |place: usize| place < 6;
+    let aggregates = |index: usize| index < 6;
     let mut reading = vec![0; 3];
-    for (place, name) in names.iter().enumerate() {
+    for (index, name) in names.iter().enumerate() {
         let mut readers = Readers::default();
         for (other, peer) in names.iter().enumerate() {
-            let same_domain = other % 3 == place % 3;
-            let far = aggregates(place) && aggregates(other) && !partitioned;
-            let heard = other != place && ((aggregates(other) && same_domain) || far);
-            if heard || (same_domain && aggregates(place) && other != place) {
+            let same_domain = other % 3 == index % 3;
+            let far = aggregates(index) && aggregates(other) && !partitioned;
+            let heard = other != index && ((aggregates(other) && same_domain) || far);
+            if heard || (same_domain && aggregates(index) && other != index) {
                 readers.update(peer, at(1000), aggregates(other), watermark(300, 7));
             }
         }
-        let role = if aggregates(place) {
+        let role = if aggregates(index) {
             Role::Aggregator
         } else {
             Role::Member
@@ -244,7 +244,7 @@
             ..own(name, 900, 7)
         };
         let reads = readers.must_read(own, at(1000)).is_some();
-        reading[place % 3] += usize::from(reads);
+        reading[index % 3] += usize::from(reads);
     }
     reading
 }
@@ -300,7 +300,7 @@
 
 /// Instances are replaced under new names, hundreds a day. Their entries must go, or parts
 /// of joint limits shrink for ever; an instance that was only cut off for a while must not
-/// lose its place, nor one that has just been listed.
+/// lose its index, nor one that has just been listed.
 #[test]
 fn entries_of_dead_instances_are_dropped() {
     let mut readers = Readers::default();
