--- a/crates/forward/src/aggregate/domains.rs
+++ b/crates/forward/src/aggregate/domains.rs
@@ -1,31 +1,30 @@
-//! Sums of other failure domains.
+//! Sums of the other failure domains.
 //!
-//! Two aggregators of a domain may speak at once, each for the members that report to it.
-//! Only one of them counts: the first by rank, unless it speaks for far fewer members than
-//! another does, as one that has just come back from a freeze.
+//! Both aggregators of a domain may send sums at the same time. Only one sum counts: the first by
+//! rank, unless it covers far fewer members than another, as after a freeze of its aggregator.
 
 use {
     super::{SUM_LIFETIME, add_rows, row_load, members::Rank, set_row},
     crate::{endpoint::Load, load::Report, prelude::*},
 };
 
-/// A part of a domain's sum, as it comes in one message.
+/// Part of the sum of a failure domain, as sent in one message.
 #[derive(Clone, Debug, Default)]
 pub struct SumPart {
-    /// First and last digest that it covers, where one that is not among the rows has no
-    /// load; none if only the rows have changed.
+    /// First and last digest of the range that it replaces, in which a digest without a row has no
+    /// load; `None` for an update of single rows.
     pub covers: Option<(u32, u32)>,
-    /// Instances that the sum is made of.
+    /// Number of instances in the sum.
     pub members: u32,
-    /// Orders the sender's messages within its life.
+    /// Orders the messages of one incarnation of the sender.
     pub number: u64,
-    /// Life of the sender's process.
+    /// Incarnation of the sender.
     pub incarnation: u64,
     /// Load by digest of the endpoint, sorted.
     pub rows: Report,
 }
 
-/// What one aggregator said of its domain.
+/// Last sum of one aggregator.
 #[derive(Debug)]
 struct Sum {
     at: Time,
@@ -37,7 +36,7 @@
     sender: String,
 }
 
-/// What the aggregators of one domain said.
+/// Sums of the aggregators of one domain.
 #[derive(Debug)]
 struct Domain {
     name: String,
@@ -54,7 +53,7 @@
     }
 }
 
-/// Whether an aggregator speaks for nearly as many members as the one with the most.
+/// Whether an aggregator covers nearly as many members as the one with the most.
 pub(super) const fn covers_enough_members(members: u32, max_members: u32) -> bool {
     members.saturating_mul(5) >= max_members.saturating_mul(4)
 }
@@ -67,8 +66,8 @@
 }
 
 impl Domains {
-    /// Takes a part of the sum of a domain in; `rank` is the sender's. One
-    /// that was overtaken by a later one changes nothing.
+    /// Applies a part of the sum of a domain, unless a later one was applied already; `rank` is the
+    /// rank of the sender.
     pub fn update(&mut self, now: Time, name: &str, sender: &str, rank: Rank, part: &SumPart) {
         let domain = match self
             .domains
@@ -119,14 +118,14 @@
         }
     }
 
-    /// Drops sums that have outlived their time.
+    /// Drops expired sums.
     pub fn expire(&mut self, now: Time) {
         for domain in &mut self.domains {
             domain.sums.retain(|sum| now.since(sum.at) <= SUM_LIFETIME);
         }
     }
 
-    /// Aggregators that were heard of late.
+    /// Aggregators that sent a sum recently.
     #[must_use]
     pub fn senders(&self) -> Vec<String> {
         let sums = self.domains.iter().flat_map(|domain| &domain.sums);
@@ -143,7 +142,7 @@
         load
     }
 
-    /// Adds the sums of all domains to rows.
+    /// Adds the sums of all domains to `sums`.
     pub fn add_to(&self, sums: &mut Report) {
         for sum in self.chosen() {
             add_rows(sums, &sum.rows);
--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -1,29 +1,28 @@
-//! Who adds the load of a failure domain up, and whom an instance talks to.
+//! Registered instances, their roles, and the links between them.
 //!
-//! Every instance ranks the instances of a failure domain alike, the strongest first, and
-//! passes over those that do not answer it. Two views that differ cost a few words and a
-//! sum that lacks some members; they never make one count twice.
+//! Every instance ranks the instances of a failure domain in the same order and skips those that do
+//! not answer it. Where these views differ, there are a few extra messages and a sum that lacks
+//! some members, but nothing is counted twice.
 
 use {crate::prelude::*, slotmap::SlotMap};
 
-/// Instances of a failure domain that add up its load; the second one takes over when the
-/// first falls silent.
+/// Aggregators of a failure domain; the second one replaces the first if that fails.
 pub const AGGREGATORS_PER_DOMAIN: usize = 2;
 
-/// Other instances up to which words to all cost less than sums.
+/// Maximum number of other instances up to which each reports to all others.
 const MAX_MESH_PEERS: usize = 16;
 
-/// Time without an answer after which an instance is passed over.
+/// Time without an answer after which an instance is skipped.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a connection to open. An instance that has just started is known to the other
-/// side only once its entry was read there.
+/// Additional time for opening a connection, since the other side accepts it only once it has read
+/// the entry of this instance.
 const CONNECT_GRACE: Duration = Duration::from_millis(1500);
 
-/// First pause before an instance that was passed over is tried again; it doubles.
+/// Backoff before a skipped instance is tried again; it doubles with each failure.
 const INITIAL_RETRY_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// Most doublings of [`INITIAL_RETRY_BACKOFF`].
+/// Maximum number of doublings of [`INITIAL_RETRY_BACKOFF`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 slotmap::new_key_type! {
@@ -31,31 +30,31 @@
     pub struct MemberKey;
 }
 
-/// Part of an instance in what instances tell each other.
+/// Role of an instance in the exchange of reports.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Role {
-    /// One of many that adds up reports of its failure domain.
+    /// Where there are many instances: adds up the reports of its failure domain.
     Aggregator,
-    /// One of few, which all tell each other.
+    /// Where there are few instances: reports to all others.
     #[default]
     Mesh,
-    /// One of many that reports to aggregators.
+    /// Where there are many instances: reports to the aggregators of its failure domain.
     Member,
 }
 
-/// Place in a failure domain: processor share, the largest first, then a hash.
+/// Rank in a failure domain: largest processor share first, then by hash.
 pub type Rank = (std::cmp::Reverse<u32>, u64);
 
-/// An instance as it published itself.
+/// A registered instance.
 #[derive(Clone, Debug)]
 struct Member {
     domain: String,
     failures: u32,
     name: String,
     rank: Rank,
-    /// When one that was passed over is tried again.
+    /// When it is tried again, if it is skipped.
     retry_at: Option<Time>,
-    /// Since when it has been talked to without an answer.
+    /// When the oldest unanswered message was sent to it.
     unanswered_since: Option<Time>,
 }
 
@@ -74,13 +73,13 @@
 pub struct Link {
     /// The instance.
     pub key: MemberKey,
-    /// Whether the other one is expected to keep a connection to this one as well.
+    /// Whether the other instance also keeps a connection to this one.
     pub mutual: bool,
-    /// Whether it stands in the own failure domain.
+    /// Whether it is in the same failure domain as this instance.
     pub same_domain: bool,
 }
 
-/// All instances that have published themselves, the own one included.
+/// All registered instances, this one included.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     arena: SlotMap<MemberKey, Member>,
@@ -91,8 +90,8 @@
 }
 
 impl Members {
-    /// Takes the entry of an instance in; `processor` is its share of a core in thousandths.
-    /// One that has started anew is tried at once.
+    /// Adds or replaces an instance; `processor` is its share of a core in thousandths. A replaced
+    /// one is no longer skipped.
     pub fn set(&mut self, name: &str, domain: &str, processor: u32) {
         self.remove(name);
         let rank = rank(name, processor);
@@ -115,7 +114,7 @@
         self.ranks.insert(index, entry);
     }
 
-    /// Forgets an instance whose entry is gone.
+    /// Removes an instance whose entry was removed.
     pub fn remove(&mut self, name: &str) {
         let Some(key) = self.find(name) else {
             return;
@@ -125,13 +124,13 @@
         self.ranks.retain(|(_, _, other)| *other != key);
     }
 
-    /// Instances, the own one included.
+    /// Number of instances, this one included.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are so many that load is told by sums.
+    /// Whether there are so many instances that load is aggregated.
     #[must_use]
     pub const fn is_aggregated(&self) -> bool {
         self.names.len() > MAX_MESH_PEERS + 1
@@ -150,15 +149,15 @@
         Some(&member.domain)
     }
 
-    /// Place of an instance in its failure domain; lower ones come first.
+    /// Rank of an instance in its failure domain; lower ones come first.
     #[must_use]
     pub fn rank(&self, name: &str) -> Option<Rank> {
         let member = self.arena.get(self.find(name)?)?;
         Some(member.rank)
     }
 
-    /// An instance is talked to and owes an answer; one to which no connection is open yet
-    /// has some more time.
+    /// Records that a message was sent to an instance, which has to answer in time. Without an open
+    /// connection it gets `CONNECT_GRACE` more.
     pub fn expect_answer(&mut self, key: MemberKey, now: Time, connected: bool) {
         if let Some(member) = self.arena.get_mut(key) {
             let since = if connected {
@@ -170,7 +169,7 @@
         }
     }
 
-    /// An instance was heard of.
+    /// Records that a message was received from an instance.
     pub fn mark_responsive(&mut self, name: &str) {
         let Some(member) = self.find(name).and_then(|key| self.arena.get_mut(key)) else {
             return;
@@ -180,8 +179,7 @@
         member.unanswered_since = None;
     }
 
-    /// Passes over instances that have been silent for too long; returns them, so that
-    /// their connections are opened anew.
+    /// Skips instances that did not answer in time; returns them, so that the caller can reconnect.
     pub fn skip_unresponsive(&mut self, now: Time) -> Vec<MemberKey> {
         let mut silent = Vec::new();
         for (key, member) in &mut self.arena {
@@ -197,8 +195,8 @@
         silent
     }
 
-    /// Part of the own instance; a member until its own entry is known, since nobody can say
-    /// before how many there are.
+    /// Role of this instance; [`Role::Member`] until its own entry is known, since the number of
+    /// instances is unknown before.
     #[must_use]
     pub fn role(&self, own: &str) -> Role {
         let Some(key) = self.find(own) else {
@@ -214,8 +212,8 @@
         Role::Member
     }
 
-    /// Instances to keep a connection to: all others if they are few; else the aggregators
-    /// of the own failure domain, and for an aggregator those of the other domains.
+    /// Instances to keep a connection to: all others where there are few; else the aggregators of
+    /// the own failure domain, and for an aggregator also those of the other domains.
     #[must_use]
     pub fn links(&self, own: &str, now: Time) -> Vec<Link> {
         let Some(key) = self.find(own) else {
@@ -260,7 +258,7 @@
         responsive.take(AGGREGATORS_PER_DOMAIN).collect()
     }
 
-    /// One that was passed over and is to be tried again.
+    /// The first skipped instance that is due for another try.
     fn due_for_retry(&self, domain: &str, now: Time) -> Option<MemberKey> {
         let mut ranked = self.ranked(domain);
         ranked.find(|key| self.arena.get(*key).is_some_and(|member| member.is_retry_due(now)))
--- a/crates/forward/src/aggregate/mod.rs
+++ b/crates/forward/src/aggregate/mod.rs
@@ -1,18 +1,17 @@
-//! Load of endpoints over hundreds of instances.
+//! Aggregation of load reports where there are many instances.
 //!
-//! Words of each instance to all others cost instances times instances. So a few
-//! instances of each failure domain, the first by rank that answer, add the reports of its
-//! members up, tell each other the sums of their domains, and answer each report with the
-//! sum over all domains. Nobody is elected and none is set aside:
+//! Reports of every instance to every other one would grow with the square of their number. Instead
+//! the first instances of each failure domain by rank act as aggregators: they add up the reports
+//! of the members of their domain, exchange the sums with other domains, and answer each report
+//! with the total. There is no election:
 //!
-//! * [`members`]: who adds up, and whom an instance talks to;
-//! * [`domains`]: sums of the other failure domains, of which each counts once;
-//! * [`table`]: what an aggregator has told its members, and which rows have changed;
-//! * [`view`]: what a member holds of that.
+//! * [`members`]: which instances aggregate, and which links an instance keeps;
+//! * [`domains`]: sums of the other failure domains, one for each;
+//! * [`table`]: the rows that an aggregator sends to its members, and their changes;
+//! * [`view`]: the rows that a member has received.
 //!
-//! A sum never counts the report of one instance twice: an aggregator takes reports of its
-//! own domain only, one for each member, and one sum for each other domain; a member takes
-//! the word of one aggregator, less what it reported itself.
+//! No report is counted twice: an aggregator adds one report for each member of its own domain and
+//! one sum for each other domain; a member uses the rows of one aggregator, less its own report.
 
 pub mod domains;
 pub mod members;
@@ -25,27 +24,27 @@
     prelude::*,
 };
 
-/// After this long a sum no longer counts; what it speaks of is mostly done by then.
+/// Time after which a sum no longer counts; most of the reported work has ended by then.
 pub const SUM_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Where the load of the other instances is taken from.
+/// Source of the load of the other instances.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 enum Source {
-    /// Reports of the instances themselves, and sums of other failure domains.
+    /// Reports of the instances, and sums of the other failure domains.
     #[default]
     Direct,
-    /// The answers of this aggregator.
+    /// Answers of this aggregator.
     Aggregator(String),
 }
 
-/// Sums of load beside the reports that this instance hears itself.
+/// Aggregated load, beside the reports that this instance receives directly.
 #[derive(Debug, Default)]
 pub struct Sums {
     /// Sums of the other failure domains.
     pub domains: domains::Domains,
-    /// Load of this instance, as of the last publication.
+    /// Load of this instance at the last publication.
     own: Report,
-    /// What members have been told.
+    /// Rows that were sent to members.
     pub table: table::Table,
     /// Answers of aggregators.
     pub views: view::Views,
@@ -53,13 +52,11 @@
 }
 
 impl Sums {
-    /// Settles where the load of the other instances is taken from, and drops what has
-    /// outlived its time.
+    /// Selects the source of the load of the other instances and drops expired sums; returns
+    /// whether the source has changed.
     ///
-    /// An aggregator that is cut off, frozen or gone is left within [`view::MAX_ROW_AGE`]; until
-    /// another one answers, an instance chooses by what it knows itself.
-    ///
-    /// Returns whether that has changed.
+    /// An aggregator that does not answer is dropped after [`view::MAX_ROW_AGE`]. Until another one
+    /// answers, the instance uses the reports that it receives directly.
     pub fn select_source(&mut self, now: Time, aggregates: bool) -> bool {
         self.domains.expire(now);
         let best = if aggregates {
@@ -75,7 +72,7 @@
         true
     }
 
-    /// The aggregator whose sums are used, if it is not this instance.
+    /// The aggregator whose rows are used, unless it is this instance.
     #[must_use]
     pub fn aggregator(&self) -> Option<&str> {
         match &self.source {
@@ -84,14 +81,13 @@
         }
     }
 
-    /// Age of the sums of another aggregator that are used.
+    /// Age of the rows of the aggregator that is used.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.views.age(now, self.aggregator()?)
     }
 
-    /// Load of all other instances at an endpoint; `peer_loads` are the reports that were
-    /// heard directly.
+    /// Load of all other instances at an endpoint; `peer_loads` are the reports received directly.
     #[must_use]
     pub fn others(&self, peer_loads: &PeerLoads, digest: u32) -> Load {
         if let Source::Aggregator(aggregator) = &self.source {
@@ -102,8 +98,7 @@
         load
     }
 
-    /// Takes the present sums into the table that members are told from; `own` is this
-    /// instance's own load.
+    /// Updates the table for members with the current sums; `own` is the load of this instance.
     pub fn publish(&mut self, now: Time, peer_loads: &PeerLoads, own: Report) {
         self.own = own;
         let mut sums = peer_loads.sums().clone();
@@ -112,8 +107,8 @@
         self.table.publish(now, &sums);
     }
 
-    /// Takes the report of a member in. The table counts it at once, since the member takes
-    /// what it reported off the answer.
+    /// Applies the report of a member and updates the table at once, since the member subtracts its
+    /// report from the answer.
     pub fn report(
         &mut self,
         now: Time,
@@ -138,13 +133,13 @@
     }
 }
 
-/// Load at an endpoint by rows that are sorted by digest.
+/// Load at an endpoint, from rows sorted by digest.
 pub(crate) fn row_load(rows: &Report, digest: u32) -> Load {
     let index = rows.binary_search_by_key(&digest, |(other, _)| *other);
     index.map_or_else(|_| Load::default(), |index| rows[index].1)
 }
 
-/// Adds rows to rows; both are sorted by digest.
+/// Adds `rows` to `sums`; both are sorted by digest.
 pub fn add_rows(sums: &mut Report, rows: &Report) {
     for (digest, load) in rows {
         match sums.binary_search_by_key(digest, |(other, _)| *other) {
@@ -154,7 +149,7 @@
     }
 }
 
-/// Sets the load at an endpoint in rows that are sorted by digest.
+/// Sets the load at an endpoint in rows sorted by digest.
 pub(crate) fn set_row(rows: &mut Report, digest: u32, load: Load) {
     match rows.binary_search_by_key(&digest, |(other, _)| *other) {
         Ok(index) if load == Load::default() => {
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -1,24 +1,24 @@
-//! What an aggregator tells its members.
+//! Rows that an aggregator sends to its members.
 //!
-//! A member says up to which version it has the table, and gets the rows that have changed
-//! since: a lost answer costs nothing, and a row that changes little is not sent again.
+//! A member sends the version that it has and gets the rows that have changed since. A lost answer
+//! therefore needs no handling, and small changes are not sent.
 
 use crate::{endpoint::Load, load::Report, prelude::*};
 
-/// Tokens by which a row has to change to be told again; a step of a choice's cost that is
-/// below what the draw among endpoints adds.
+/// Change of the tokens of a row from which on it is sent again; its effect on a cost is below the
+/// random addition.
 const MIN_CHANGE_TOKENS: u32 = 512;
 
-/// The same for tokens of prompts being read.
+/// The same for prefill tokens.
 const MIN_CHANGE_PREFILL_TOKENS: u32 = 256;
 
-/// Shortest time between two updates of the table.
+/// Minimum interval between two updates of the table.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time after which a row without load is forgotten; endpoints come and go under new ids.
+/// Time after which a row without load is removed; endpoints are replaced under new ids.
 const EMPTY_ROW_RETENTION: Duration = Duration::from_secs(10);
 
-/// A row as it was told.
+/// A row as sent to members.
 #[derive(Debug)]
 struct Row {
     at: Time,
@@ -30,18 +30,18 @@
 /// Rows that have changed since a version.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Changes {
-    /// Whether the member has to forget what it held.
+    /// Whether the rows replace all that the member has.
     pub snapshot: bool,
-    /// The rows, the longest unsaid first.
+    /// The rows, in the order of their last change.
     pub rows: Report,
-    /// Version that the member has with them.
+    /// Version that the member has with these rows.
     pub version: u64,
 }
 
-/// The sums as members were told them.
+/// Sums as sent to members.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// Version from which on rows have been forgotten.
+    /// Highest version of a removed row.
     pruned_version: u64,
     published: Option<Time>,
     /// Sorted by digest.
@@ -50,7 +50,7 @@
 }
 
 impl Table {
-    /// Takes the present sums in.
+    /// Updates all rows from the current sums.
     pub fn publish(&mut self, now: Time, sums: &Report) {
         if self.published.is_some_and(|last| now.since(last) < PUBLISH_INTERVAL) {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes the present load of one endpoint in.
+    /// Updates the row of one endpoint.
     pub fn set(&mut self, now: Time, digest: u32, load: Load) {
         match self.rows.binary_search_by_key(&digest, |row| row.digest) {
             Ok(index) if differs(load, self.rows[index].load) => {
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -1,4 +1,4 @@
-//! What a member holds of its aggregators' sums.
+//! Rows that a member has received from its aggregators.
 
 use {
     super::{row_load, domains::covers_enough_members, members::Rank, set_row, table::Changes},
@@ -6,51 +6,50 @@
     std::collections::VecDeque,
 };
 
-/// Age up to which the rows of an aggregator are used, counted from the report that it
-/// answers. A message may have waited in a buffer through a freeze, so its arrival says
-/// nothing.
+/// Maximum age of the rows of an aggregator, counted from the report that they answer. The arrival
+/// time is not used, since a message may wait in a buffer while the process is frozen.
 pub const MAX_ROW_AGE: Duration = Duration::from_millis(1200);
 
-/// Time without an answer after which rows are asked of the next aggregator; two answers
-/// fit into it, and what is held stays in use meanwhile.
+/// Time without an answer after which rows are requested from the next aggregator; long enough for
+/// two answers. Rows already received stay in use.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Reports that are kept until they are answered.
+/// Maximum number of unanswered reports that are kept.
 const MAX_PENDING_REPORTS: usize = 16;
 
 /// An aggregator's answer to a report.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// Rows that have changed, if they were asked for.
+    /// Changed rows, if they were requested.
     pub changes: Option<Changes>,
-    /// Number of the report that is answered; the sum counts it.
+    /// Number of the answered report, which the sum includes.
     pub echo: u64,
-    /// Life of the aggregator's process.
+    /// Incarnation of the aggregator.
     pub incarnation: u64,
-    /// Members that report to the aggregator.
+    /// Number of members that report to the aggregator.
     pub members: u32,
 }
 
-/// What one aggregator told.
+/// Rows of one aggregator.
 #[derive(Debug)]
 struct View {
     aggregator: String,
-    /// When the report was sent that was answered last.
+    /// When the last answered report was sent.
     reported_at: Time,
     incarnation: u64,
     members: u32,
-    /// What this instance reported itself, which the rows count.
+    /// Report of this instance that the rows include.
     own: Report,
     rank: Rank,
     /// Sorted by digest.
     rows: Report,
-    /// The same as [`Self::reported_at`] for the last answer with rows.
+    /// When the last report was sent that was answered with rows.
     rows_reported_at: Option<Time>,
     version: u64,
 }
 
 impl View {
-    /// Takes changed rows in; those of an answer that was overtaken change nothing.
+    /// Applies changed rows, unless later ones were applied already.
     fn apply(&mut self, changes: Changes) {
         if changes.version < self.version {
             return;
@@ -70,17 +69,17 @@
     }
 }
 
-/// Answers of aggregators to the reports of this instance.
+/// Rows of all aggregators, from their answers to the reports of this instance.
 #[derive(Debug, Default)]
 pub struct Views {
-    /// Reports that may still be answered, the oldest first.
+    /// Unanswered reports, the oldest first.
     reports: VecDeque<(u64, Report)>,
     /// Sorted by rank.
     views: Vec<View>,
 }
 
 impl Views {
-    /// A report is sent; its number is the time of the sending in microseconds.
+    /// Records a report that is sent; its number is the sending time in microseconds.
     pub fn record_report(&mut self, number: u64, mut rows: Report) {
         rows.sort_unstable_by_key(|(digest, _)| *digest);
         if self.reports.len() >= MAX_PENDING_REPORTS {
@@ -89,8 +88,8 @@
         self.reports.push_back((number, rows));
     }
 
-    /// Takes the answer of an aggregator in; `rank` is its rank. Returns
-    /// whether it was of use.
+    /// Applies the answer of an aggregator of rank `rank`; returns `false` for one that is outdated
+    /// or answers no kept report.
     pub fn update(&mut self, aggregator: &str, rank: Rank, answer: Answer) -> bool {
         let Some((number, own)) = self
             .reports
@@ -139,7 +138,7 @@
         true
     }
 
-    /// Life and version of what is held of an aggregator.
+    /// Incarnation and version of the rows of an aggregator.
     #[must_use]
     pub fn version(&self, aggregator: &str) -> (u64, u64) {
         let mut views = self.views.iter();
@@ -147,8 +146,8 @@
         view.map_or((0, 0), |view| (view.incarnation, view.version))
     }
 
-    /// The aggregator to ask for rows: the first by rank among those that answer, unless it
-    /// speaks for far fewer members than another.
+    /// The aggregator to request rows from: the first by rank among those that answer, unless it
+    /// covers far fewer members than another.
     #[must_use]
     pub fn preferred(&self, now: Time) -> Option<&str> {
         first_by_rank(
@@ -164,7 +163,8 @@
         first_by_rank(self.views.iter().filter(|view| view.is_fresh(now)))
     }
 
-    /// Whether rows of at most an age are held, or nobody answers who could send newer ones.
+    /// Whether the rows of the preferred aggregator are at most `age` old, or there is no preferred
+    /// aggregator.
     #[must_use]
     pub fn is_recent(&self, now: Time, age: Duration) -> bool {
         let preferred = self.preferred(now);
@@ -173,7 +173,7 @@
         view.is_none_or(|view| view.rows_reported_at.is_some_and(|reported_at| now.since(reported_at) <= age))
     }
 
-    /// Age of an aggregator's rows.
+    /// Age of the rows of an aggregator.
     #[must_use]
     pub fn age(&self, now: Time, aggregator: &str) -> Option<Duration> {
         let mut views = self.views.iter();
@@ -181,7 +181,7 @@
         Some(now.since(view.rows_reported_at?))
     }
 
-    /// Load of all other instances at an endpoint by the word of an aggregator.
+    /// Load of all other instances at an endpoint, by the rows of an aggregator.
     #[must_use]
     pub fn at(&self, aggregator: &str, digest: u32) -> Load {
         let mut views = self.views.iter();
@@ -193,7 +193,7 @@
         load
     }
 
-    /// Forgets an aggregator whose entry is gone.
+    /// Removes an aggregator whose entry was removed.
     pub fn forget(&mut self, aggregator: &str) {
         self.views.retain(|view| view.aggregator != aggregator);
     }
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -168,7 +168,7 @@
         self.pick_copy(now, service, run.need(), remaining, endpoint, &self.loads())
     }
 
-    /// Whether a run is certain to end before its leaving engine stops.
+    /// Whether a run is likely to end before its leaving engine stops.
     #[must_use]
     pub fn ends_soon(&self, run: RunKey) -> bool {
         let run = self.runs.get(run);
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -12,7 +12,7 @@
 /// Number of topics in the store.
 pub const TOPICS: usize = 3;
 
-/// Time without a word after which a fellow is no longer counted on to read.
+/// Time without a report after which a peer no longer counts as a reader.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time that relayed records may take before they count as missing.
@@ -222,7 +222,7 @@
     }
 
     /// Whether the entry of a peer, listed since `listed`, is to be removed because nothing was
-    /// received from the peer for [`ENTRY_TTL`].
+    /// received from the peer for `ENTRY_TTL`.
     ///
     /// Replaced instances get new names. Without removal their entries would accumulate, and each
     /// costs connection attempts and a share of every shared limit.
