--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -111,7 +111,7 @@
         self.budget.set_instances(self.instances);
     }
 
-    /// Replaces the configuration unless the new one is older; returns whether it did.
+    /// Replaces the configuration if the new one has a higher version; returns whether it did.
     pub fn configure(&mut self, config: Config) -> bool {
         if self
             .config
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -1,4 +1,4 @@
-//! Load told by sums: five failure domains of sixty instances in simulated time.
+//! Aggregation of load over five failure domains of sixty instances in simulated time.
 
 mod common;
 
@@ -17,7 +17,7 @@
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
 };
 
-/// Milliseconds of a step; every message takes one.
+/// Duration of a step, which is also the delay of every message.
 const STEP_MS: u64 = 20;
 
 /// Steps between two reports of a member.
@@ -26,24 +26,24 @@
 /// Steps between two sums of an aggregator.
 const SUM_INTERVAL_STEPS: u64 = 3;
 
-/// Rank of an instance of whom only the order matters.
+/// Rank where only the order of ranks matters.
 const ANY_RANK: Rank = (std::cmp::Reverse(500), 0);
 
-/// Steps between two checks of sums, each of one instance in so many.
+/// Steps between two checks, each of one instance in [`SAMPLE_EVERY`].
 const CHECK_INTERVAL_STEPS: u64 = 5;
 const SAMPLE_EVERY: usize = 7;
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const ENDPOINTS: u32 = 128;
 
-/// Bound on the time for which a sum may lack or keep what is no longer so.
+/// Maximum time until a sum reflects a change.
 const STALE_MS: u64 = 4000;
 
-/// What one instance knows and does.
+/// State of one instance.
 struct Node {
     domain: usize,
     peer_loads: PeerLoads,
-    /// Neither hears nor says anything.
+    /// Whether it neither receives nor sends messages.
     frozen: bool,
     received: u64,
     incarnation: u64,
@@ -61,9 +61,9 @@
     Sum(SumPart),
 }
 
-/// Three hundred instances, and what is on its way between them.
+/// All instances, and the messages between them.
 struct Fleet {
-    /// From one domain to another nothing passes.
+    /// Pairs of domains without connection from the first to the second.
     partitions: Vec<(usize, usize)>,
     nodes: Vec<Node>,
     now: u64,
@@ -77,7 +77,7 @@
         let name = |index: usize| format!("e{index:03}");
         let mut members = Members::default();
         for other in 0..count {
-            // Three of each domain are stronger than the others.
+            // Three instances of each domain rank higher than the others.
             let processor = if other < 3 * DOMAINS.len() { 500 } else { 120 };
             members.set(&name(other), DOMAINS[other % DOMAINS.len()], processor);
         }
@@ -106,7 +106,7 @@
         fleet
     }
 
-    /// Gives an instance another load of its own.
+    /// Replaces the load of an instance.
     fn load(&mut self, index: usize) {
         let mut own = Vec::new();
         for _ in 0..3 {
@@ -244,14 +244,14 @@
         }
     }
 
-    /// Requests at all endpoints together, of all instances but one.
+    /// Number of requests at all endpoints, without those of one instance.
     fn actual(&self, but: usize) -> u32 {
         let others = self.nodes.iter().enumerate();
         let others = others.filter(|(index, _)| *index != but);
         others.map(|(_, node)| requests(&node.own)).sum()
     }
 
-    /// The same as an instance knows it.
+    /// The same number as known to an instance.
     fn known(&self, index: usize) -> u32 {
         let node = &self.nodes[index];
         let endpoints = (0..ENDPOINTS).map(|endpoint| endpoint * 1000);
@@ -259,7 +259,7 @@
         loads.map(|load| load.requests).sum()
     }
 
-    /// That no instance counts the load of any other twice.
+    /// Checks that no instance counts the load of another twice.
     fn assert_no_double_count(&self) {
         if !(self.now / STEP_MS).is_multiple_of(CHECK_INTERVAL_STEPS) {
             return;
@@ -303,11 +303,10 @@
     name[1..].parse().expect("a number")
 }
 
-/// Where work goes in a crowded fleet depends on the work of all others. With a part of it
-/// missing, prompts meet at engines that are full; with a part counted twice, engines that
-/// have room are left idle.
+/// Each instance knows the total load of all others; a partial sum overloads engines, a double
+/// count leaves them idle.
 #[test]
-fn every_instance_knows_the_load_of_all_others() {
+fn each_instance_knows_total_load_of_others() {
     let mut fleet = Fleet::new(60, 1);
     fleet.run(2000, Fleet::assert_no_double_count);
     assert_eq!(fleet.incomplete(), Vec::<usize>::new());
@@ -318,10 +317,9 @@
     assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// What an instance says and hears must not grow with the fleet: at three hundred instances
-/// that told all others, words alone took more of the machines than the requests did.
+/// The messages of a member must not grow with the number of instances.
 #[test]
-fn words_of_a_member_do_not_grow_with_the_fleet() {
+fn member_message_count_is_independent_of_fleet_size() {
     let messages = [10, 60].map(|per_domain| {
         let mut fleet = Fleet::new(per_domain, 2);
         fleet.run(2000, |_| {});
@@ -332,10 +330,9 @@
     assert!(messages[1] <= messages[0] + 4, "{messages:?}");
 }
 
-/// Both aggregators of a failure domain lose their power. Their members turn to the next
-/// ones by rank, and the sums of the domain are whole again before what they spoke of ends.
+/// If both aggregators of a domain fail, the next ones by rank replace them.
 #[test]
-fn lost_aggregators_are_replaced() {
+fn failed_aggregators_are_replaced() {
     let mut fleet = Fleet::new(60, 3);
     fleet.run(2000, |_| {});
     let failed = fleet.aggregators(2);
@@ -344,16 +341,16 @@
         fleet.nodes[index].frozen = true;
         fleet.nodes[index].own = Vec::new();
     }
-    // What the two had themselves is counted until it outlives its time.
+    // The load of the two counts until it expires.
     fleet.run(STALE_MS, |_| {});
     fleet.run(1000, Fleet::assert_no_double_count);
     assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// An aggregator wakes from a freeze and takes up where it stopped, beside the one that has
-/// taken over. Two sums of one domain must not be added, nor the old one taken for the new.
+/// An aggregator that resumes after a freeze sends sums beside its replacement; they must not be
+/// added.
 #[test]
-fn a_frozen_aggregator_that_comes_back_doubles_nothing() {
+fn resumed_aggregator_is_not_counted_twice() {
     let mut fleet = Fleet::new(60, 4);
     fleet.run(2000, |_| {});
     let frozen = fleet.aggregators(1)[0];
@@ -364,11 +361,9 @@
     assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// Words pass from one failure domain to another in one direction only. The domain that is
-/// not heard counts for nothing after a while; nothing counts twice, and all is known again
-/// after the cut.
+/// A domain whose messages do not arrive expires, and counts again after the partition.
 #[test]
-fn a_domain_cut_one_way_is_left_out_and_comes_back() {
+fn domain_behind_one_way_partition_expires_and_recovers() {
     let mut fleet = Fleet::new(60, 5);
     fleet.run(2000, |_| {});
     fleet.partitions.push((0, 3));
@@ -385,10 +380,10 @@
     assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// An aggregator starts anew with an empty table. Members that held rows of its former life
-/// must forget them, or endpoints that were full then look full for ever.
+/// The rows of a restarted aggregator replace those of its former incarnation, which would
+/// otherwise stay.
 #[test]
-fn rows_of_a_former_life_are_forgotten() {
+fn rows_of_former_incarnation_are_dropped() {
     let mut views = Sums::default().views;
     let row = |tokens| {
         let load = Load {
@@ -421,10 +416,9 @@
     assert_eq!(views.at("e1", 5).tokens, 0);
 }
 
-/// An answer lies in a buffer through a freeze. Taken for new when it arrives, its rows
-/// would send prompts to engines that have filled up since.
+/// The age of rows counts from the report that they answer; a delayed answer must not look new.
 #[test]
-fn an_answer_is_as_old_as_the_report_that_it_answers() {
+fn row_age_counts_from_answered_report() {
     let mut sums = Sums::default();
     sums.views.record_report(1_000_000, Vec::new());
     let answer = Answer {
@@ -438,10 +432,10 @@
     assert_eq!(sums.views.best(at(9000)), None);
 }
 
-/// A member counts its own work itself. If the sum that it hears counted that work again,
-/// it would keep away from the engines that it uses.
+/// A member subtracts its own report from the sum; otherwise it would avoid the engines that it
+/// uses.
 #[test]
-fn a_member_takes_its_own_report_off_the_sum() {
+fn member_subtracts_own_report_from_sum() {
     let load = |tokens| Load {
         tokens,
         ..Load::default()
@@ -463,11 +457,9 @@
     assert_eq!(views.at("e1", 5).tokens, 4000);
 }
 
-/// Work that begins in another failure domain is told at once, row by row, between two whole
-/// sums. Taken for a whole sum it would empty all other endpoints, and every choice would
-/// meet at those that look idle.
+/// Updates of single rows between two full sums must not clear the others.
 #[test]
-fn rows_that_have_grown_change_no_others() {
+fn row_update_keeps_other_rows() {
     let load = |requests| Load {
         requests,
         ..Load::default()
@@ -491,11 +483,10 @@
     assert_eq!(sums.domains.at(7).requests, 4);
 }
 
-/// All instances of a deployment start at once, and each knows nobody yet. Each took itself
-/// for the only one and read the store again and again until it had found the others, which
-/// made more calls than the hour that followed.
+/// An instance without known peers must not take itself for the only one and read the store at
+/// every start.
 #[test]
-fn an_instance_that_knows_nobody_is_no_reader() {
+fn instance_without_known_peers_is_a_member() {
     let mut members = Members::default();
     assert_eq!(members.role("e1"), Role::Member);
     members.set("e2", "a", 120);
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment for the tests: one model service and one plain service.
+//! Shared fixtures: a deployment with a model service and a plain service.
 
 #![allow(
     dead_code,
@@ -23,7 +23,7 @@
     std::time::Duration,
 };
 
-/// Output tokens of a long generation.
+/// Expected tokens of a long generation.
 pub const LONG: Need = Need {
     output: 900,
     prompt: 3000,
@@ -130,7 +130,7 @@
     }
 }
 
-/// An instance of domain `a` that knows its configuration and the given endpoints.
+/// An instance in domain `a` with a configuration and the given endpoints.
 pub fn instance(endpoints: &[Listing]) -> State {
     instance_in("a", 1, endpoints)
 }
@@ -146,7 +146,7 @@
     state
 }
 
-/// Begins a long generation, as the loop does.
+/// Adds a run of a long generation.
 pub fn begin_run(state: &mut State, endpoint: EndpointKey, backup: Option<EndpointKey>) -> RunKey {
     state.begin(Run {
         backup,
@@ -167,7 +167,7 @@
     endpoint.listing.id.clone()
 }
 
-/// The endpoint that a pick sends to.
+/// The endpoint and backup of a pick; panics if there is none.
 pub fn picked(pick: Pick) -> (EndpointKey, Option<EndpointKey>) {
     match pick {
         Pick::Send(key, backup) => (key, backup),
--- a/crates/forward/tests/histories.rs
+++ b/crates/forward/tests/histories.rs
@@ -1,7 +1,7 @@
-//! Long randomised runs of the shipped decisions on knowledge of differing age.
+//! Randomised simulations of decisions on knowledge of differing age.
 //!
-//! `HISTORIES` sets their number, `SEED` what they are drawn from, so that a long
-//! run is `HISTORIES=1000000 SEED=7 cargo test --release -p forward --test histories`.
+//! `HISTORIES` sets their number and `SEED` the seed, as in `HISTORIES=1000000 SEED=7 cargo test
+//! --release -p forward --test histories`.
 
 mod common;
 mod simulation;
@@ -16,10 +16,10 @@
     simulation::{ENGINES, INSTANCES, KEYS, Op, Simulation},
 };
 
-/// Histories run where the environment names no number.
+/// Default number of simulations.
 const HISTORIES: u32 = 3000;
 
-/// Seed where the environment names none.
+/// Default seed.
 const SEED: u64 = 20_261_203;
 
 fn setting<T: std::str::FromStr>(name: &str, default: T) -> T {
@@ -52,13 +52,11 @@
     ]
 }
 
-/// Instances read the store late, freeze with answers in their buffers, are cut off and
-/// learn from each other by words that are long on the way, while operators take keys and
-/// failure domains away and engines leave and start again. A customer would notice a key
-/// that still works after it was taken away, an operator work in a domain that is out, a
-/// caller a 401 under a key that has long been held.
+/// With delays, freezes and partitions, no instance accepts a key that was revoked too long ago,
+/// rejects one that has long been valid, or sends work to a leaving engine or a disabled failure
+/// domain.
 #[test]
-fn no_history_breaks_a_promise() {
+fn random_histories_keep_invariants() {
     let config = ProptestConfig {
         cases: setting("HISTORIES", HISTORIES),
         failure_persistence: None,
--- a/crates/forward/tests/knowledge.rs
+++ b/crates/forward/tests/knowledge.rs
@@ -1,14 +1,12 @@
-//! What an instance may do with knowledge of which age.
+//! Decisions by the age of the configuration.
 
 mod common;
 
 use common::*;
 
-/// A key is taken away while an instance is cut off from the store. The instance goes on
-/// hearing callers, so only the age of its knowledge can tell it to stop; otherwise a
-/// customer whose key leaked would see requests run under it for as long as the cut lasts.
+/// An instance without connection to the store must not accept keys that may have been revoked.
 #[test]
-fn keyed_requests_stop_when_the_key_cannot_be_proved() {
+fn keys_are_rejected_when_configuration_is_too_old() {
     let mut state = instance(&[]);
     for (now, expected) in [(4600, Ok(())), (4701, Err(Refusal::Stale))] {
         let admitted = state.admit(at(now), &inbound("/desk/x", at(now)));
@@ -20,10 +18,9 @@
     assert_eq!(again.map(|ticket| ticket.version), Ok(1));
 }
 
-/// An answer of the store lies in a buffer while the process is frozen. Read after the
-/// freeze it looks new, but it says only what held when its question was sent.
+/// An answer that was delayed in a buffer confirms the configuration only at the time of its query.
 #[test]
-fn knowledge_is_as_old_as_its_question() {
+fn configuration_age_counts_from_query() {
     let mut state = instance(&[]);
     let (asked, read) = (at(1000), at(9000));
     state.config_freshness.confirm(asked);
@@ -33,11 +30,9 @@
     assert_eq!(state.config_freshness.age(at(1500)), Some(millis(500)));
 }
 
-/// After the store dropped its history it hands out records that are seconds old. An
-/// instance that took them in would answer as an older configuration says, and a caller
-/// would see a route vanish that it had just used.
+/// Records replayed by the store must not replace a newer configuration.
 #[test]
-fn versions_never_go_back() {
+fn older_configuration_is_ignored() {
     let mut state = instance(&[]);
     assert!(state.configure(config_with(7, vec!["key-2".to_string()])));
     assert!(!state.configure(config(6)));
@@ -47,10 +42,9 @@
     assert_eq!(refused.map(|_| ()), Err(Refusal::UnknownKey));
 }
 
-/// A route was added that this instance has not read yet. A 404 would be final for the
-/// caller; a refusal with a pause sends it to an instance that knows the route.
+/// An unknown route may be one that this instance has not read yet, so that a 404 would be wrong.
 #[test]
-fn a_missing_route_is_believed_only_while_knowledge_is_recent() {
+fn unknown_route_is_stale_when_configuration_is_old() {
     let mut state = instance(&[]);
     for (now, expected) in [(1900, Refusal::UnknownRoute), (2000, Refusal::Stale)] {
         let refused = state.admit(at(now), &inbound("/new/x", at(now)));
@@ -59,9 +53,9 @@
     assert!(Refusal::Stale.retry_after().is_some());
 }
 
-/// An instance that has just started hears callers before the store has answered it.
+/// A new instance must not answer 404 before it has a configuration.
 #[test]
-fn without_a_configuration_nothing_is_called_missing() {
+fn requests_without_configuration_are_unconfigured() {
     use rand::{SeedableRng as _, rngs::SmallRng};
     let mut state = State::new(settings("a"), SmallRng::seed_from_u64(1));
     let refused = state.admit(at(0), &inbound("/desk/x", at(0)));
@@ -69,10 +63,9 @@
     assert!(!state.ready(at(0)));
 }
 
-/// Of two routes whose prefixes both begin a path, the longer one counts; a caller of the
-/// long drafts would otherwise be served by the rules of the short ones.
+/// Of several matching routes the one with the longest prefix is used.
 #[test]
-fn the_longest_prefix_wins() {
+fn longest_matching_prefix_is_used() {
     let config = config(1);
     let name = |path: &str| {
         let route = config.route("h.example", path);
@@ -84,11 +77,9 @@
     assert_eq!(name("/other/7"), None);
 }
 
-/// An instance was told to stop and is killed eight seconds later. A generation that
-/// takes ten would be cut off and lost, though another instance could serve it; short
-/// answers still fit.
+/// A generation that outlasts a stopping instance would be lost; short requests still fit.
 #[test]
-fn a_stopping_instance_takes_only_what_it_can_finish() {
+fn stopping_instance_admits_only_requests_that_fit() {
     let mut state = instance(&[]);
     state.stop(at(8000));
     let long = state.admit(at(100), &inbound("/draft/x", at(100)));
@@ -106,11 +97,10 @@
     assert!(Refusal::Stopping.not_run());
 }
 
-/// A request waits for a place while its route is moved to another service, or its traffic
-/// is split anew. It must not reach an endpoint of a service that the route no longer goes
-/// to, nor change service by a second draw after an endpoint was chosen.
+/// A queued request must not go to a service that its route no longer includes, nor change service
+/// after an endpoint was chosen.
 #[test]
-fn a_waiting_request_follows_its_route() {
+fn readmitted_request_follows_its_route() {
     let split = |version: u64, split: &[(&str, u32)]| {
         let mut route = route("/desk/", Kind::NonIdempotent, "desk");
         route.anonymous = true;
@@ -141,12 +131,10 @@
     assert_eq!((renewed.service.as_str(), renewed.version), ("one", 3));
 }
 
-/// While an instance stops, a caller's new report is expected to be short, and turns out
-/// long: estimates are right at the median only. It was taken 4.3 s after the signal and
-/// cut off with the process (seed 973547733763 of mixed days on rmpe-stl). Only the bound
-/// that the caller gives is sure.
+/// A generation admitted by its length hint may outlast the instance; only the caller's limit is a
+/// bound.
 #[test]
-fn a_stopping_instance_trusts_no_estimate() {
+fn stopping_instance_ignores_length_hint() {
     let mut state = instance(&[]);
     state.stop(at(7700));
     let mut hopeful = inbound("/draft/x", at(4300));
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, lapse, come back, and failure domains that are taken out.
+//! Endpoints that leave, expire or return, and disabled failure domains.
 
 mod common;
 
@@ -12,22 +12,22 @@
     ]
 }
 
-/// An engine announces that it leaves, or its entry vanishes while it still works for a
-/// second or two. Requests sent there are cut off with it.
+/// An engine is leaving once it announces so or its entry is removed; new requests would be lost
+/// with it.
 #[test]
-fn nothing_new_goes_to_an_engine_that_leaves() {
-    for vanishes in [false, true] {
+fn leaving_engine_gets_no_new_requests() {
+    for removed in [false, true] {
         let mut state = instance(&pair());
         let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
         assert_eq!(id(&state, first), "m1");
         let mut leaving = listing("m1", "model", "a");
         leaving.leaving = true;
-        let change = if vanishes {
+        let change = if removed {
             Change::Removed("m1".to_string())
         } else {
             Change::Set(leaving)
         };
-        // The list has been followed without a break, so a vanished entry is believed.
+        // The list is current, so that a removed entry takes effect at once.
         state.confirm_list(at(2200), at(2200));
         state.change(at(2300), change);
         let (next, _) = picked(state.pick(at(2301), "model", LONG, &[]));
@@ -37,11 +37,9 @@
     }
 }
 
-/// An instance has just started, and an engine's entry vanishes. The first word of the
-/// store looked like its return, so the entry was doubted for two seconds, in which the
-/// engine was gone with its runs.
+/// The first read of the list must not count as a recovery of the store, which delays removals.
 #[test]
-fn a_new_instance_believes_what_vanishes() {
+fn removal_right_after_start_applies_at_once() {
     let mut state = instance(&pair());
     let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
     let run = begin_run(&mut state, first, None);
@@ -49,12 +47,12 @@
     assert!(state.must_move(run));
 }
 
-/// The store was away and dropped the entries of engines that live. Believing it at once
-/// would leave no engine to send to, and callers would be refused by a healthy system.
+/// Entries of live engines expire while the store is unreachable; removing them at once would leave
+/// no engine.
 #[test]
-fn entries_that_lapsed_during_an_outage_are_doubted_first() {
+fn removals_after_store_outage_are_delayed() {
     let mut state = instance(&pair());
-    // The store is away from 1 s on, and back with its first answer at 8 s.
+    // The store is unreachable from 1 s to 8 s.
     state.confirm_list(at(1000), at(900));
     state.confirm_list(at(8000), at(7990));
     for name in ["m1", "m2"] {
@@ -62,7 +60,7 @@
     }
     let (during, _) = picked(state.pick(at(8100), "model", LONG, &[]));
     assert_eq!(id(&state, during), "m1");
-    // One comes back within two seconds, the other does not.
+    // One registers again within two seconds, the other does not.
     state.change(at(9000), Change::Set(listing("m1", "model", "a")));
     state.tick(at(10_100));
     let usable = |state: &State, name: &str| {
@@ -73,10 +71,9 @@
     assert!(!usable(&state, "m2"));
 }
 
-/// Operators take a failure domain out because its engines turn cold. Whatever is sent
-/// there after that, a run that goes on from its copy included, breaks their promise.
+/// A disabled failure domain gets no new work, copies or continued runs.
 #[test]
-fn nothing_goes_to_a_domain_that_is_out() {
+fn disabled_domain_gets_no_work() {
     let mut state = instance(&pair());
     let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
@@ -91,10 +88,10 @@
     assert!(state.may_continue_at(at(20), backup));
 }
 
-/// The engine that holds a run's copy leaves as well. For a moment it is all that is left
-/// of the run, and it still works; a while later it must get nothing more.
+/// An engine that has just started to leave may hold the only copy of a run; later it must get
+/// nothing.
 #[test]
-fn a_leaving_engine_may_take_a_run_over_for_a_moment() {
+fn leaving_engine_may_continue_run_within_grace() {
     let mut state = instance(&pair());
     let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
@@ -108,11 +105,9 @@
     assert!(!state.may_continue_at(at(2000), backup));
 }
 
-/// An engine dies without a word. The first request that cannot reach it must keep the
-/// next ones away, for longer with each failure, but a new life under the same id starts
-/// with a clean record.
+/// Failed connections lengthen the backoff; a restart under the same id resets it.
 #[test]
-fn an_unreachable_endpoint_is_avoided_until_it_is_born_again() {
+fn unreachable_endpoint_is_avoided_until_restart() {
     let mut state = instance(&pair());
     let (key, _) = picked(state.pick(at(10), "model", LONG, &[]));
     state.endpoint_mut(key).expect("known").mark_unreachable(at(100));
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that hold over the sum of all instances, without a message between them.
+//! Limits that hold over all instances without coordination.
 
 mod common;
 
@@ -11,12 +11,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Endpoints fail, and each instance sends again whatever its part of the budget
-    /// allows. The parts of all instances together must stay within the joint bound in
-    /// any window, however the callers are spread, or a failing service drowns in
-    /// repeats.
+    /// The retries of all instances stay within the shared budget in any window, however requests
+    /// are spread.
     #[test]
-    fn second_sends_stay_within_the_joint_budget(
+    fn retries_stay_within_shared_budget(
         arrivals in proptest::collection::vec((0_usize..10, 0_u64..30_000), 1..600),
     ) {
         let mut arrivals = arrivals;
@@ -36,8 +34,8 @@
         for end in &retries {
             let within = |time: &u64, back: u64| *time + back <= *end && *time + back + 10_000 > *end;
             let retried = retries.iter().filter(|time| within(time, 0)).count();
-            // First sends count in the window itself, the one before it, or the one half
-            // a window before it, whichever has most.
+            // Requests count in the window itself, in the one before it, or in the one half a
+            // window before it, whichever has the most.
             let requests = [0, 5000, 10_000]
                 .map(|back| arrivals.iter().filter(|(_, time)| within(time, back)).count())
                 .into_iter()
@@ -49,11 +47,9 @@
         }
     }
 
-    /// Ten instances find the same engine the least loaded one and send there at once,
-    /// just when it has turned cold without a word. Above its stated rate it falls over
-    /// and takes all its runs with it.
+    /// Ten instances that choose the same cold engine together stay within its rate.
     #[test]
-    fn a_cold_engine_is_not_overrun(times in proptest::collection::vec(0_u64..3000, 1..400)) {
+    fn cold_engine_rate_is_not_exceeded(times in proptest::collection::vec(0_u64..3000, 1..400)) {
         let mut times = times;
         times.sort_unstable();
         let max_sends = 2; // 28 a second over ten instances, rounded down
@@ -73,10 +69,9 @@
     }
 }
 
-/// One instance cannot use up what belongs to the others, even if all callers come to it
-/// and everything fails.
+/// An instance that gets all requests uses only its own share of the budget.
 #[test]
-fn one_instance_uses_only_its_part() {
+fn instance_uses_only_its_share_of_retries() {
     let mut budget = RetryBudget::new(&settings("a"));
     for _ in 0..10 {
         budget.record_request("desk", at(0));
@@ -91,10 +86,9 @@
     assert!(budget.allows_retry("desk", at(10_100)));
 }
 
-/// A deployment grows from ten to eighty instances. Parts cut for ten would let all of them
-/// together send again eight times as often as the endpoints can bear.
+/// Shares computed for ten instances would exceed the budget in a deployment of eighty.
 #[test]
-fn parts_shrink_when_there_are_more_instances() {
+fn retry_share_shrinks_with_more_instances() {
     let mut state = instance(&[]);
     let retries = |state: &mut forward::State, now: u64| {
         let mut retries = 0;
@@ -113,10 +107,9 @@
     assert_eq!(retries(&mut state, 60_000), 0);
 }
 
-/// The operators lower the bounds while instances run. Old parts would go on being used
-/// until each instance is restarted; what was sent before counts against the new ones.
+/// Lowered limits apply without a restart, and earlier retries count against them.
 #[test]
-fn changed_settings_are_in_force_at_once() {
+fn changed_settings_apply_at_once() {
     let mut state = instance(&[]);
     for now in 0..3 {
         assert!(state.budget.allows_retry("desk", at(now)));
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -1,25 +1,24 @@
-//! Where work goes under load: patterns of the heaviest days, without a network.
+//! Placement of work under load.
 
 mod common;
 
 use {common::*, forward::load::digest, std::collections::BTreeMap};
 
-/// Six engines in each of three failure domains, as in the deployments that the figures
-/// come from.
+/// Six engines in each of three failure domains.
 fn engines() -> Vec<Listing> {
     (0..18)
         .map(|number| listing(&format!("m{number}"), "model", ["a", "b", "c"][number % 3]))
         .collect()
 }
 
-/// Seven instances over the three domains.
+/// Seven instances in three failure domains.
 fn instances() -> Vec<State> {
     (0..7)
         .map(|number| instance_in(["a", "b", "c"][number % 3], number as u64, &engines()))
         .collect()
 }
 
-/// Every instance hears the load of every other one.
+/// Sends the load of every instance to every other one.
 fn exchange(instances: &mut [State], now: u64) {
     let reports = instances.iter().map(State::report).collect::<Vec<_>>();
     for (to, state) in instances.iter_mut().enumerate() {
@@ -32,9 +31,8 @@
     }
 }
 
-/// Long prompts arrive 60 ms apart (17 a second, the sum of both kinds at a busy hour), one
-/// instance after the other; a prompt takes 210 ms to read. Returns how many prompts began
-/// to be read at an engine that was still reading another one.
+/// Sends 18 long prompts 60 ms apart, each through the next instance, with a prefill of 210 ms.
+/// Returns how many went to an engine that was still busy with the prefill of another.
 fn collisions(shared: bool) -> usize {
     let mut instances = instances();
     let mut reading = BTreeMap::<String, u64>::new();
@@ -53,17 +51,15 @@
     collisions
 }
 
-/// Many callers come at once, through all instances. Two prompts on one engine make every
-/// stream there late, though others are idle, and instances that do not know of each other
-/// choose alike.
+/// Instances that share their load avoid engines with a prefill in progress; others choose the same
+/// ones.
 #[test]
-fn instances_that_share_their_load_do_not_read_side_by_side() {
+fn shared_load_prevents_concurrent_prefills() {
     assert_eq!(collisions(true), 0);
     assert!(collisions(false) > 0);
 }
 
-/// Twenty-five engines in each of three failure domains, and so many instances that a word
-/// of what one chose reaches the others only after some of them have chosen too.
+/// Thirty instances and 75 engines in three failure domains.
 fn large_deployment() -> Vec<State> {
     let engines = (0..75)
         .map(|number| listing(&format!("m{number}"), "model", ["a", "b", "c"][number % 3]))
@@ -79,35 +75,32 @@
     instances.collect()
 }
 
-/// Ten prompts arrive within the 20 ms that a word of a choice is on its way, each at
-/// another of thirty instances. All of these found the same engine the emptiest one, and
-/// its prompts were read one after the other: callers waited two seconds for a first event
-/// while most engines read nothing.
+/// Instances that choose before they learn of each other's choices must not all take the same
+/// engine.
 #[test]
-fn many_instances_that_choose_at_once_choose_differently() {
+fn concurrent_choices_spread_over_engines() {
     let mut instances = large_deployment();
     let mut collisions = 0;
     for second in 0..20 {
         let now = second as u64 * 1000;
         exchange(&mut instances, now);
         let mut chosen = Vec::new();
-        for place in 0..10 {
-            let state = &mut instances[(second * 7 + place * 3) % 30];
+        for index in 0..10 {
+            let state = &mut instances[(second * 7 + index * 3) % 30];
             let (key, _) = picked(state.pick(at(now + 20), "model", LONG, &[]));
             let name = id(state, key);
             collisions += usize::from(chosen.contains(&name));
             chosen.push(name);
         }
     }
-    // Ten draws among 25 engines of a domain meet 1.6 times; alike they would 9 times.
+    // Ten random choices among the 25 engines of a domain collide 1.6 times, identical ones 9
+    // times.
     assert!(collisions < 20 * 4, "{collisions} of 200 prompts shared an engine");
 }
 
-/// Runs need most of all KV memory. Copies took the room that the next prompts
-/// needed; these met at the few engines that had some left, and runs were preempted in the
-/// middle of their streams. With memory to spare each run has its copy.
+/// Copies must not take memory that runs need, but each run has one while memory is free.
 #[test]
-fn copies_are_made_only_while_memory_is_left_for_them() {
+fn copies_stop_when_memory_is_scarce() {
     let mut state = instance(&engines());
     let mut copied = Vec::new();
     for arrival in 0..150_u64 {
@@ -117,18 +110,16 @@
         begin_run(&mut state, key, None);
         copied.push(copy.is_some());
     }
-    // 18 engines of 34,000 tokens hold 94 runs of 3,225 in half of their memory, and 123 in
-    // the part beyond which copies would take the room of runs.
+    // 18 engines of 34,000 tokens hold 94 runs of 3,225 tokens in half of their memory, and 123 in
+    // the share up to which copies are made.
     assert!(copied[..94].iter().all(|copied| *copied), "{copied:?}");
     assert!(!copied[125], "{copied:?}");
 }
 
-/// Reports arrive all the time at one engine and end one after the other. Counted with all
-/// they need at their ends, eight filled it while a third of its memory lay idle, and
-/// callers were refused; yet together they must never need more than there is, or some are
-/// preempted in the middle of their streams.
+/// Counting the final size of each run would leave a third of the memory unused; runs must still
+/// never need more than there is.
 #[test]
-fn runs_that_end_one_after_the_other_share_memory() {
+fn runs_overcommit_memory_without_exceeding_it() {
     const STEP: u64 = 100;
     let capacity = engine().kv_tokens;
     let mut state = instance(&[listing("m0", "model", "a")]);
@@ -138,7 +129,7 @@
     let mut refused = Vec::new();
     for step in 0..600 {
         let now = at(step * STEP);
-        // A token takes some 10 ms, an event holds four.
+        // A token takes about 10 ms; an event has four.
         runs.retain_mut(|(run, length): &mut (RunKey, u32)| {
             let known = state.run_mut(*run).expect("a run");
             known.events += 5 * u32::from(step % 2 == 0);
@@ -172,10 +163,9 @@
     );
 }
 
-/// Runs need most of all KV memory, and a few engines that have just started have room. The
-/// next prompts meet there; a copy of each run in progress would leave them nowhere.
+/// Free memory of a few new engines is for the next prompts, not for copies of running ones.
 #[test]
-fn the_room_of_new_engines_is_left_to_runs() {
+fn free_memory_of_new_engines_is_kept_for_runs() {
     let mut state = instance(&engines());
     let keys = state.endpoints().map(|(key, _)| key).collect::<Vec<_>>();
     let (new, old) = keys.split_at(3);
@@ -190,11 +180,10 @@
     assert!(new.contains(&next));
 }
 
-/// Three engines leave at once with two runs each, whose copies are gone. Moves to another
-/// domain take twice as long and the notice is short, so they stay in the domain of their
-/// engine, and no engine is given all of them.
+/// Runs of leaving engines without a copy move within the failure domain, since transfers between
+/// domains take twice as long, and spread over several engines.
 #[test]
-fn runs_of_leaving_engines_spread_within_their_domain() {
+fn runs_of_leaving_engines_spread_within_domain() {
     let mut state = instance(&engines());
     let mut runs = Vec::new();
     for name in ["m0", "m3", "m6"] {
@@ -225,10 +214,9 @@
     assert!(taken.len() >= 2, "{taken:?}");
 }
 
-/// All engines of a domain crash together. Work goes to the others at once, and a run's
-/// copy stands in another domain than the run, so that it goes on.
+/// All engines of a domain may fail together, so a copy is in another domain than its run.
 #[test]
-fn a_domain_that_crashes_takes_neither_work_nor_copies_with_it() {
+fn domain_crash_spares_copies_and_new_work() {
     let mut state = instance(&engines());
     let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let domain = |state: &State, key| {
@@ -249,18 +237,17 @@
     assert_ne!(domain(&state, next), "a");
 }
 
-/// Engines are full. Whoever is sent there all the same is preempted or turned down after
-/// its prompt was read; short checks go before long reports when a place frees up, and
-/// among equals who came first.
+/// Requests that do not fit are queued by priority, then by arrival.
 #[test]
-fn what_does_not_fit_waits_by_rank_and_turn() {
+fn queue_is_ordered_by_priority_then_arrival() {
     let mut state = instance(&[listing("m0", "model", "a")]);
     let mut filled = 0;
     while let Pick::Send(key, _) = state.pick(at(filled * 1500), "model", LONG, &[]) {
         begin_run(&mut state, key, None);
         filled += 1;
     }
-    // 34,000 tokens hold nine reports of 3,000 that grow by 900 and end one after the other.
+    // 34,000 tokens hold nine runs of 3,000 prompt tokens that grow by 900 and end one after the
+    // other.
     assert_eq!(filled, 9);
     state.config_freshness.confirm(at(12_000));
     let ticket = state.admit(at(12_000), &inbound("/draft/x", at(12_000)));
@@ -276,11 +263,10 @@
     assert!(!state.is_preceded(&long));
 }
 
-/// A caller's estimate is right at the median only, so half of all runs outlive it. A run
-/// just past its estimate was taken to end at once, stayed at an engine that had said that
-/// it leaves, and was lost with it (rmpe-stl and tallowgate-badge, days of high load).
+/// Half of all runs exceed the caller's estimate; they must be moved off a leaving engine like
+/// others.
 #[test]
-fn a_run_past_its_estimate_is_not_taken_to_end_soon() {
+fn run_beyond_estimate_does_not_end_soon() {
     let mut state = instance(&engines());
     let (key, _) = picked(state.pick(at(10), "model", LONG, &[]));
     let run = begin_run(&mut state, key, None);
@@ -292,10 +278,9 @@
     assert!(past(490));
 }
 
-/// A customer has a rank of its own, which goes before the route's. Callers of an urgent
-/// customer waited behind those of others where both used the same route.
+/// The priority of a customer overrides the priority of the route.
 #[test]
-fn a_customers_rank_goes_before_the_routes() {
+fn customer_priority_overrides_route_priority() {
     let mut state = instance(&[]);
     let ranked = |name: &str, key: &str, priority| Customer {
         keys: vec![key.to_string()],
@@ -309,13 +294,13 @@
     let routes = vec![route("/desk/", Kind::NonIdempotent, "desk")];
     let config = Config::new(2, Limits::default(), routes, Vec::new(), customers);
     state.configure(config);
-    let mut place = |key: &str| {
+    let mut enqueue = |key: &str| {
         let mut request = inbound("/desk/x", at(10));
         request.key = Some(key.to_string());
         let ticket = state.admit(at(10), &request).expect("a ticket");
         state.enqueue(&ticket)
     };
-    let (first, urgent) = (place("key-1"), place("key-2"));
+    let (first, urgent) = (enqueue("key-1"), enqueue("key-2"));
     assert!(state.is_preceded(&first));
     assert!(!state.is_preceded(&urgent));
 }
--- a/crates/forward/tests/probes.rs
+++ b/crates/forward/tests/probes.rs
@@ -1,14 +1,12 @@
-//! Asking engines whether they leave while the store is silent.
+//! Probes of engines while the store is unreachable.
 
 mod common;
 
 use common::*;
 
-/// The store goes away, and an engine says only in its own report that it leaves. Nobody
-/// asked, so its runs were lost with it a second and a half later. Engines with runs of
-/// this instance are asked, the others are not, and nobody while the list is fresh.
+/// While the list is outdated, engines with runs of this instance are probed, and no others.
 #[test]
-fn engines_with_runs_are_asked_while_the_store_is_silent() {
+fn engines_with_runs_are_probed_while_list_is_old() {
     let engines = [listing("m1", "model", "a"), listing("m2", "model", "b")];
     let mut state = instance(&engines);
     let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
@@ -26,10 +24,9 @@
     assert!(state.due_probes(at(asked_at + 2000)).is_empty());
 }
 
-/// A failure domain is cut off, and the store with it. Engines behind the cut do not
-/// answer; asked all the time, each question would open a connection that goes nowhere.
+/// Each probe of an unreachable engine opens a connection, so there must be few.
 #[test]
-fn an_engine_that_does_not_answer_is_asked_rarely() {
+fn unanswered_probes_back_off() {
     let mut state = instance(&[listing("m1", "model", "a")]);
     let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
     begin_run(&mut state, first, None);
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, when instances differ in what reaches them.
+//! Selection of the instance that reads the store.
 
 mod common;
 
@@ -35,7 +35,7 @@
     [watermark; 3]
 }
 
-/// What `name` hears if all others are up to date at `now`.
+/// The state of `name` if all other instances are up to date at `now`.
 fn peers_up_to_date(name: &str, now: u64) -> Readers {
     let mut readers = Readers::default();
     for other in NAMES.into_iter().filter(|other| *other != name) {
@@ -44,10 +44,9 @@
     readers
 }
 
-/// Seven instances that each follow the store make seven times the calls, and the store
-/// turns callers away above its rate; then nobody hears of a change.
+/// If every instance read the store, their calls would exceed its rate limit.
 #[test]
-fn one_instance_reads_while_all_hear_each_other() {
+fn one_instance_reads_in_full_mesh() {
     let reading = NAMES
         .into_iter()
         .filter(|name| {
@@ -59,12 +58,9 @@
     assert_eq!(reading, 1);
 }
 
-/// The store turns the reader away and serves the others. Their word keeps coming, but it
-/// grows old, and a change must be in force with those who reach the store within two
-/// seconds (seed 498292265215 of the day 'store': a key that had been taken away still
-/// worked after 2.1 s).
+/// If the reader does not reach the store, the others must read before a change is overdue.
 #[test]
-fn a_reader_that_is_turned_away_is_replaced_in_time() {
+fn unreachable_reader_is_replaced_in_time() {
     for name in NAMES {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
@@ -75,11 +71,10 @@
     }
 }
 
-/// The store is away for everybody. Instances that all ask it as often as its reader make
-/// thousands of calls in vain, each of which counts; one is enough to find it back, and it
-/// tells the others.
+/// While the store is unreachable, only one instance keeps polling it; failed calls count against
+/// its rate limit.
 #[test]
-fn one_instance_asks_an_absent_store_often() {
+fn one_instance_polls_unreachable_store() {
     let causes = NAMES.map(|name| {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
@@ -92,23 +87,19 @@
     assert_eq!(count(Cause::Old), 3);
 }
 
-/// The store turns the reader away, and a fellow has taken its index. The one that was
-/// turned away must leave the store alone, or it asks in vain for as long as that lasts.
+/// A reader that does not reach the store stops polling it once a peer has taken over.
 #[test]
-fn a_reader_that_is_turned_away_gives_up_its_index() {
+fn instance_cut_off_from_store_is_no_reader() {
     for name in NAMES {
         let readers = peers_up_to_date(name, 9000);
         assert!(!readers.is_reader(own(name, 6000, 7), at(9000)), "{name}");
     }
 }
 
-/// The store turns the reader away, and one more instance with it. The others read for
-/// themselves once the reader's word is too old; what they find must reach the one that was
-/// turned away, which went on with a route that had been moved for over three seconds
-/// (rmpe-stl-grown, scale-2 --seed 583556312409). Those who merely missed records do not
-/// pass them on: their fellows have them.
+/// Records that an instance reads because its knowledge is too old must reach others that do not
+/// reach the store. Records that were only missing here are not relayed.
 #[test]
-fn records_reach_an_instance_that_the_store_turns_away() {
+fn records_read_for_age_are_relayed() {
     for name in NAMES {
         let mut readers = Readers::default();
         for other in NAMES.into_iter().filter(|other| *other != name) {
@@ -126,13 +117,10 @@
     assert!(!readers.should_relay(Cause::Missing, own(follower, 4900, 6), at(5000)));
 }
 
-/// A machine loses its power and comes back; its clock starts anew. A fellow that has not
-/// heard of the new life yet echoes a time of the old one, far ahead of the present. Taken
-/// for a proof it made the knowledge of the instance, and by its words that of its whole
-/// failure domain, look new for ever: they served a key for over three seconds after it was
-/// taken away (rmpe-stl-grown, scale-2 --seed 583556312409).
+/// An echo of a timestamp from before a power loss may be in the future of the new clock; knowledge
+/// confirmed by it would never expire.
 #[test]
-fn an_echo_of_a_former_life_proves_nothing() {
+fn echo_of_former_incarnation_confirms_nothing() {
     let watermark = watermark(100, 7)[0];
     let echo = |incarnation| EchoTimestamp {
         at: at(60_000),
@@ -143,10 +131,9 @@
     assert_eq!(watermark.confirms(echo(12), 12, 7), Some(at(59_900)));
 }
 
-/// The same fellow numbers its reports from the start again. Its load was passed over until
-/// its new clock was ahead of the old one, and prompts went to engines that it was filling.
+/// Report numbers of a restarted peer start again; its reports must not be dropped as outdated.
 #[test]
-fn the_load_of_a_fellow_that_starts_anew_counts() {
+fn load_of_restarted_peer_counts() {
     let mut peer_loads = PeerLoads::default();
     let load = |tokens| Load {
         tokens,
@@ -161,11 +148,9 @@
     assert_eq!(peer_loads.at(5).tokens, 700);
 }
 
-/// The list of instances is read rarely, so that what is known of it is often twenty
-/// seconds old. Every instance took the others for cut off from the store then, and read
-/// the list itself.
+/// The list of instances is read rarely; its age must not make every instance read it.
 #[test]
-fn an_old_list_of_instances_is_read_by_one() {
+fn one_instance_reads_old_instance_list() {
     let reading = NAMES
         .into_iter()
         .filter(|name| {
@@ -184,10 +169,9 @@
     assert_eq!(reading, 1);
 }
 
-/// A partition leaves each side with its own fellows; each must end up with a reader of
-/// its own, though nobody tells it so.
+/// Each side of a partition has one reader.
 #[test]
-fn each_side_of_a_partition_has_a_reader() {
+fn each_side_of_partition_has_a_reader() {
     for side in [["e1", "e2"], ["e3", "e4"]] {
         let mut reading = 0;
         for name in side {
@@ -201,10 +185,9 @@
     }
 }
 
-/// Records that the reader passed on are lost with a connection. The follower hears how
-/// far the others are, and asks the store after a moment in which they may still arrive.
+/// Records lost on the way are read from the store after the time in which they may still arrive.
 #[test]
-fn missing_records_are_read() {
+fn missing_records_are_read_after_relay_delay() {
     let name = NAMES
         .into_iter()
         .find(|name| !peers_up_to_date(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
@@ -216,25 +199,25 @@
     assert_eq!(readers.must_read(own(name, 4900, 7), at(5140)), None);
 }
 
-/// Who of thirty instances in three failure domains reads the store; the first two of each
-/// domain add up, and all that are not cut apart hear each other's aggregators.
+/// Number of readers in each failure domain, of thirty instances with two aggregators in each of
+/// three domains.
 fn readers_by_domain(partitioned: bool) -> Vec<usize> {
     let names = (0..30)
         .map(|number| format!("e{number}"))
         .collect::<Vec<_>>();
-    let aggregates = |index: usize| index < 6;
+    let is_aggregator = |index: usize| index < 6;
     let mut reading = vec![0; 3];
     for (index, name) in names.iter().enumerate() {
         let mut readers = Readers::default();
         for (other, peer) in names.iter().enumerate() {
             let same_domain = other % 3 == index % 3;
-            let far = aggregates(index) && aggregates(other) && !partitioned;
-            let heard = other != index && ((aggregates(other) && same_domain) || far);
-            if heard || (same_domain && aggregates(index) && other != index) {
-                readers.update(peer, at(1000), aggregates(other), watermark(300, 7));
+            let linked_aggregators = is_aggregator(index) && is_aggregator(other) && !partitioned;
+            let receives_reports = other != index && ((is_aggregator(other) && same_domain) || linked_aggregators);
+            if receives_reports || (same_domain && is_aggregator(index) && other != index) {
+                readers.update(peer, at(1000), is_aggregator(other), watermark(300, 7));
             }
         }
-        let role = if aggregates(index) {
+        let role = if is_aggregator(index) {
             Role::Aggregator
         } else {
             Role::Member
@@ -249,25 +232,22 @@
     reading
 }
 
-/// Where there are many instances one of the aggregators reads for all. Readers by the
-/// dozen make calls that are dear and bring the same records; none at all would leave every
-/// instance with an old configuration.
+/// One aggregator reads for all domains; without any, every configuration would become outdated.
 #[test]
-fn one_aggregator_of_a_large_deployment_reads_for_all() {
+fn one_aggregator_reads_for_all_domains() {
     assert_eq!(readers_by_domain(false).iter().sum::<usize>(), 1);
 }
 
-/// Failure domains are cut off from each other, and each must follow the store by itself:
-/// a key that was taken away would be used on in the domains that have no reader.
+/// Each failure domain has a reader while the domains are partitioned.
 #[test]
-fn each_domain_of_a_large_deployment_has_a_reader_when_cut_off() {
+fn each_partitioned_domain_has_a_reader() {
     assert_eq!(readers_by_domain(true), [1, 1, 1]);
 }
 
-/// The two aggregators of a failure domain answer each other and report to each other. Each
-/// took the other for a mere member after a report, and both read the store.
+/// Aggregators of a domain also send each other member reports; both would read the store if these
+/// reset the role.
 #[test]
-fn an_aggregator_that_reports_is_still_one() {
+fn aggregator_that_sends_reports_stays_aggregator() {
     let reading = ["e1", "e2"].into_iter().filter(|name| {
         let other = if *name == "e1" { "e2" } else { "e1" };
         let mut readers = Readers::default();
@@ -282,11 +262,9 @@
     assert_eq!(reading.count(), 1);
 }
 
-/// An aggregator passes records on while a member's own are on their way. A member that
-/// asked the store at once would do so fifty-fold with its fellows; one that never did
-/// would use a route that was moved.
+/// Members wait for relayed records before they read the store, but only for a limited time.
 #[test]
-fn a_member_gives_records_the_time_to_come() {
+fn member_waits_for_relayed_records() {
     let mut readers = Readers::default();
     readers.update("e1", at(5000), true, watermark(300, 7));
     let own = LocalTopic {
@@ -298,11 +276,10 @@
     assert_eq!(readers.must_read(own, at(5510)), Some(Cause::Missing));
 }
 
-/// Instances are replaced under new names, hundreds a day. Their entries must go, or parts
-/// of joint limits shrink for ever; an instance that was only cut off for a while must not
-/// lose its index, nor one that has just been listed.
+/// Entries of replaced instances must be removed, or shares of limits shrink. Entries of instances
+/// that were briefly silent or just listed must stay.
 #[test]
-fn entries_of_dead_instances_are_dropped() {
+fn entries_of_silent_instances_expire() {
     let mut readers = Readers::default();
     readers.update("e2", at(10_000), true, watermark(300, 7));
     let minutes = |minutes: u64| at(minutes * 60_000);
--- a/crates/forward/tests/resuming.rs
+++ b/crates/forward/tests/resuming.rs
@@ -8,7 +8,7 @@
     proptest::{prelude::*, test_runner::RngSeed},
 };
 
-/// What the random streams are drawn from.
+/// Seed of the random streams.
 const SEED: u64 = 20_261_203;
 
 fn ticket(kind: Kind, resumable: bool) -> Ticket {
@@ -23,10 +23,10 @@
     ticket
 }
 
-/// A caller names the last event of a stream on a route whose streams cannot be resumed.
-/// Believed, an engine would leave out what the caller never had.
+/// On a route whose streams cannot be resumed, an engine would omit events that the caller does not
+/// have.
 #[test]
-fn a_caller_is_believed_only_where_streams_can_be_resumed() {
+fn resumption_is_ignored_on_other_routes() {
     let mut request = inbound("/draft/7", at(10));
     request.last_event = Some("12".to_string());
     let resumable = ticket(Kind::Stream, true);
@@ -34,10 +34,9 @@
     assert_eq!(ticket(Kind::Stream, false).resume_after(&request), None);
 }
 
-/// An engine dies before its first event. A second run of a draft that cannot be resumed
-/// would file a notice twice; one that can be is sent again, up to what its route allows.
+/// A second run of a request that is not idempotent would repeat its effects.
 #[test]
-fn only_what_is_idempotent_runs_again() {
+fn only_idempotent_requests_run_again() {
     let cases = [
         (Kind::Stream, true, [true, false]),
         (Kind::Stream, false, [false, false]),
@@ -58,11 +57,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A stream goes on at engine after engine, each of which begins at or before the place
-    /// that it was asked for and is lost after some events, and its caller came back with
-    /// what it already had. The caller must see each later event once and in order.
+    /// A stream that continues at several engines, some of which start too early, has each event
+    /// once and in order.
     #[test]
-    fn every_event_comes_once(had in 0..30_u32, pieces in prop::collection::vec((0..4_u32, 1..12_u32), 1..8)) {
+    fn each_event_is_accepted_once(had in 0..30_u32, pieces in prop::collection::vec((0..4_u32, 1..12_u32), 1..8)) {
         let last = (had > 0).then(|| had.to_string());
         let mut sequence = Sequence::after(last.as_deref());
         let mut seen = Vec::new();
--- a/crates/forward/tests/sequence.rs
+++ b/crates/forward/tests/sequence.rs
@@ -1,11 +1,10 @@
-//! The order of a stream's events across engines.
+//! Order of the events of a stream across engines.
 
 use forward::sequence::Sequence;
 
-/// A run goes on at another engine while the one before still writes. Events arrive from
-/// both, and the caller must see each once and in order.
+/// Two engines may send the same events while a run moves.
 #[test]
-fn events_that_were_passed_on_are_dropped() {
+fn repeated_events_are_dropped() {
     let mut sequence = Sequence::default();
     let passed = ["1", "2", "3", "2", "3", "4"]
         .map(|id| sequence.accept(Some(id)))
@@ -16,10 +15,9 @@
     assert_eq!(sequence.count(), 4);
 }
 
-/// An engine goes on behind the place it was asked for. Joining the pieces would hand the
-/// caller a report with a hole that looks whole.
+/// A gap must fail the stream, since the caller could not notice it.
 #[test]
-fn a_gap_breaks_the_stream() {
+fn missing_event_is_a_gap() {
     let mut sequence = Sequence::default();
     for id in ["1", "2", "4"] {
         sequence.accept(Some(id));
@@ -27,9 +25,9 @@
     assert!(sequence.has_gap());
 }
 
-/// Ids may count in steps other than one.
+/// Ids may increase by more than one.
 #[test]
-fn the_step_is_learnt() {
+fn step_is_taken_from_first_events() {
     let mut sequence = Sequence::default();
     for id in ["4", "8", "12"] {
         assert!(sequence.accept(Some(id)));
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Instances that learn late, freeze and are cut off, driven through the shipped decisions,
-//! beside the truth that they are measured against.
+//! Simulation of instances with delayed, frozen and partitioned communication. It drives the real
+//! decisions and checks them against the true state.
 
 use {
     crate::common::*,
@@ -11,65 +11,65 @@
     std::collections::BTreeMap,
 };
 
-/// Instances in a history.
+/// Number of instances.
 pub const INSTANCES: usize = 4;
 
-/// Endpoints of the model service, in three failure domains.
+/// Number of endpoints of the model service, in three failure domains.
 pub const ENGINES: usize = 6;
 
-/// Keys that may be given out and taken away.
+/// Number of API keys that may be granted and revoked.
 pub const KEYS: usize = 4;
 
-/// Requests a second that a cold engine bears, from all instances together.
+/// Requests per second that a cold engine can handle, over all instances.
 const COLD_RATE_PER_S: usize = 28;
 
-/// After this long a key that was taken away must not be used any more.
+/// Time after which a revoked key must not be accepted.
 const REVOCATION_MS: u64 = 5000;
 
-/// Longest doubt whether an entry that vanished is gone, with the pause between two looks.
+/// Maximum time until a removed entry takes effect, with the interval between two ticks.
 const MAX_REMOVAL_DELAY_MS: u64 = 2250;
 
-/// Time within which every instance in touch has to know a new version.
+/// Time within which every connected instance must apply a new version.
 const MAX_APPLY_DELAY_MS: u64 = 2000;
 
-/// Age of knowledge below which a request under a key has to be served.
+/// Age of the configuration up to which requests with a valid key must be served.
 const MAX_SERVING_AGE_MS: u64 = 4600;
 
-/// One step of a history.
+/// One step of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Op {
-    /// The store's answer to a question of an instance arrives.
+    /// The store's answer to a query of an instance arrives.
     Answer(usize, usize),
-    /// An instance asks the store for a topic.
+    /// An instance queries a topic of the store.
     Ask(usize, usize),
-    /// An instance is cut off from the store for some milliseconds.
+    /// An instance is disconnected from the store for some milliseconds.
     Cut(usize, u64),
-    /// Operators take a failure domain out, or back in.
+    /// Operators disable or enable a failure domain.
     Domain(usize, bool),
-    /// An instance stands still for some milliseconds.
+    /// An instance is frozen for some milliseconds.
     Freeze(usize, u64),
-    /// Operators give a key out, or take it away.
+    /// Operators grant or revoke a key.
     Key(usize, bool),
-    /// A report of one instance reaches another, which will echo its number.
+    /// An instance receives a timestamp of another one, which it will echo.
     Echo(usize, usize),
-    /// An engine says that it leaves.
+    /// An engine announces that it is leaving.
     Leave(usize),
-    /// A machine loses its power and comes back: it knows nothing, and its clock starts anew.
+    /// A machine restarts after a power loss: the instance loses its state and its clock restarts.
     PowerLoss(usize),
-    /// A caller's request reaches an instance with a key.
+    /// An instance receives a request with a key.
     Request(usize, usize),
-    /// An engine starts again, under the same id.
+    /// An engine restarts under the same id.
     Start(usize),
-    /// What an instance knows is told to another, after some milliseconds on the way, with
-    /// the records that it has read or without them.
+    /// An instance sends a report to another one, which arrives after some milliseconds, with or
+    /// without the records that it has read.
     Report(usize, usize, u64, bool),
     /// Time passes.
     Tick(u64),
-    /// An engine's entry vanishes.
+    /// The entry of an engine is removed.
     Vanish(usize),
 }
 
-/// What a record of the store says.
+/// A record of the store.
 #[derive(Clone, Debug)]
 enum Record {
     Configure(Config),
@@ -77,7 +77,7 @@
     Endpoint(Change),
 }
 
-/// A question that the store has answered, on its way back.
+/// An answer of the store that has not arrived yet.
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     asked: u64,
@@ -86,24 +86,24 @@
 
 #[derive(Debug)]
 struct Instance {
-    /// When its machine was started; its clock counts from here.
+    /// When its machine started; its clock counts from here.
     booted_at: u64,
     cut_until: u64,
     frozen_until: u64,
-    /// Numbers that it heard last, by instance.
+    /// Last timestamps received from each instance.
     echoes: [EchoTimestamp; INSTANCES],
     incarnation: u64,
-    /// When it learnt that an engine leaves, and whether the engine said so itself.
+    /// When it learned that an engine is leaving, and whether the engine announced it.
     left: [Option<(u64, bool)>; ENGINES],
     position: [usize; 2],
     pending: [Option<Answer>; 2],
-    /// Time that each topic is proved for by this harness's own reckoning.
+    /// Time for which each topic is confirmed, as computed by the simulation.
     confirmed: [Option<u64>; 2],
     state: State,
     version: u64,
 }
 
-/// A word of one instance to another, on its way.
+/// A report that has not arrived yet.
 #[derive(Clone, Debug)]
 struct Message {
     arrives: u64,
@@ -113,21 +113,21 @@
     watermark: Watermark,
 }
 
-/// Since when something has been so.
+/// Start of a state, if it holds.
 type Since = Option<u64>;
 
-/// Instances, the store's log, and the truth.
+/// Instances, the log of the store, and the true state.
 #[derive(Debug)]
 pub struct Simulation {
     disabled_domains: [Since; 3],
     instances: Vec<Instance>,
-    /// Since when each key has been held, or taken away.
+    /// For each key, whether it is valid and since when.
     keys: [(bool, u64); KEYS],
     messages: Vec<Message>,
     incarnations: u64,
     log: [Vec<Record>; 2],
     now: u64,
-    /// Requests that were sent: to which engine, when.
+    /// Engine and time of each request that was sent.
     sends: Vec<(usize, u64)>,
     version: u64,
     started_at: u64,
@@ -168,7 +168,7 @@
 }
 
 impl Simulation {
-    /// A deployment at its start: all keys are held, all engines listed.
+    /// A deployment in which all keys are valid and all engines are listed.
     pub fn new(seed: u64) -> Self {
         let instances = (0..INSTANCES)
             .map(|index| Instance::new(index, seed.wrapping_add(index as u64), 0))
@@ -192,7 +192,7 @@
         world
     }
 
-    /// Takes one step.
+    /// Executes one step.
     pub fn step(&mut self, op: Op) {
         match op {
             Op::Tick(millis) => self.tick(millis),
@@ -244,7 +244,7 @@
         }
     }
 
-    /// The present by an instance's own clock.
+    /// Current time by the clock of an instance.
     fn local(&self, index: usize) -> Time {
         at(self.now - self.instances[index].booted_at)
     }
@@ -299,7 +299,7 @@
         self.instances[index].pending[topic].get_or_insert(Answer { asked, end });
     }
 
-    /// An answer may have waited in a buffer for as long as its instance was cut or frozen.
+    /// The answer may have been delayed while its instance was disconnected or frozen.
     fn answer(&mut self, index: usize, topic: usize) {
         if !self.awake(index) || !self.connected(index) {
             return;
@@ -353,7 +353,7 @@
         }
     }
 
-    /// `from` says how old its knowledge is, with the number that it heard last from `to`.
+    /// `from` reports the age of its configuration, with the last timestamp received from `to`.
     fn report(&mut self, from: usize, to: usize, delay_ms: u64, records: bool) {
         if from == to || !self.awake(from) || !self.awake(to) {
             return;
@@ -400,13 +400,13 @@
         let instance = &mut self.instances[index];
         assert!(
             ticket.version >= instance.version,
-            "a version was taken back"
+            "an older configuration was used"
         );
         instance.version = ticket.version;
         let (held, since) = self.keys[key];
         assert!(
             held || self.now <= since + REVOCATION_MS,
-            "a request ran {} ms after its key was taken away",
+            "a request ran {} ms after its key was revoked",
             self.now - since
         );
         let now = self.local(index);
@@ -428,13 +428,13 @@
         self.check_rate(engine);
     }
 
-    /// Nothing goes to an engine that the instance had to know to be leaving, or to a
-    /// domain that it had to know to be out.
+    /// Checks that nothing is sent to an engine that the instance must know to be leaving, or to a
+    /// failure domain that it must know to be disabled.
     fn check_endpoint(&self, index: usize, engine: usize) {
         let confirmed = self.instances[index].confirmed[OPERATORS];
         if let Some(since) = self.disabled_domains[engine % 3] {
             let known = confirmed.is_some_and(|asked| asked > since);
-            assert!(!known, "sent to a domain that is out");
+            assert!(!known, "sent to a disabled domain");
         }
         if let Some((since, announced)) = self.instances[index].left[engine] {
             let doubted = !announced && self.now < since + MAX_REMOVAL_DELAY_MS;
@@ -447,17 +447,17 @@
             .sends
             .iter()
             .filter(|(other, sent)| *other == engine && *sent + 1000 > self.now);
-        assert!(recent.count() <= COLD_RATE_PER_S, "a cold engine is overrun");
+        assert!(recent.count() <= COLD_RATE_PER_S, "rate of a cold engine exceeded");
     }
 
     fn check_refusal(&self, index: usize, key: usize, refusal: Refusal) {
-        assert!(refusal.not_run(), "nothing was sent, yet {refusal:?}");
+        assert!(refusal.not_run(), "unsent request was reported as possibly run: {refusal:?}");
         let (held, since) = self.keys[key];
         let confirmed = self.instances[index].confirmed[OPERATORS];
         match refusal {
             Refusal::UnknownKey => assert!(
                 !held || self.now <= since + MAX_APPLY_DELAY_MS,
-                "a key that has been held for {} ms is unknown",
+                "a key that has been valid for {} ms is unknown",
                 self.now - since
             ),
             Refusal::Stale => assert!(
@@ -465,14 +465,14 @@
                     let unread = since + MAX_APPLY_DELAY_MS > self.now;
                     unread || confirmed.is_some_and(|asked| asked <= since)
                 },
-                "refused as stale with recent knowledge"
+                "rejected as stale with a recent configuration"
             ),
             Refusal::Unconfigured => assert!(confirmed.is_none(), "a configuration was lost"),
-            other => panic!("refused as {other:?}"),
+            other => panic!("unexpected rejection {other:?}"),
         }
     }
 
-    /// Requests that were sent, by engine.
+    /// Number of requests sent to each engine.
     pub fn sent(&self) -> BTreeMap<usize, usize> {
         let mut sent = BTreeMap::new();
         for (engine, _) in &self.sends {
