--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -6,7 +6,7 @@
 
 use {crate::prelude::*, slotmap::SlotMap};
 
-/// Aggregators of a failure domain; the second one replaces the first if that fails.
+/// Number of aggregators in a failure domain; the second one replaces the first if that fails.
 pub const AGGREGATORS_PER_DOMAIN: usize = 2;
 
 /// Maximum number of other instances up to which each reports to all others.
--- a/crates/forward/src/config.rs
+++ b/crates/forward/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// What may be repeated.
+/// Whether requests may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     /// May run any number of times.
@@ -22,7 +22,7 @@
     pub gap: Option<Duration>,
     /// Host, in lower case, without a port.
     pub host: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: Kind,
     /// Maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
--- a/crates/forward/tests/histories.rs
+++ b/crates/forward/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Randomised simulations of decisions on knowledge of differing age.
 //!
-//! `HISTORIES` sets their number and `SEED` the seed, as in `HISTORIES=1000000 SEED=7 cargo test
-//! --release -p forward --test histories`.
+//! `HISTORIES` sets their number and `SEED` the seed, as in
+//! `HISTORIES=1000000 SEED=7 cargo test --release -p forward --test histories`.
 
 mod common;
 mod simulation;
