--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        choice::{PREFILL_TOKENS_PER_MS, MAX_TOKEN_TIME},
+        choice::{MAX_TOKEN_TIME, PREFILL_TOKENS_PER_MS},
         prelude::*,
         request::Ticket,
         state::State,
@@ -119,7 +119,8 @@
     if route.kind != Kind::Stream {
         return ANSWER_OVERHEAD.min(route.timeout);
     }
-    let prefill = Duration::from_secs_f64(f64::from(inbound.prompt) / PREFILL_TOKENS_PER_MS / 1000.0);
+    let prefill =
+        Duration::from_secs_f64(f64::from(inbound.prompt) / PREFILL_TOKENS_PER_MS / 1000.0);
     // The caller's length hint is an estimate that half of all runs exceed; its limit is not.
     let output = if inbound.max_output_tokens == 0 {
         u32::MAX
--- a/crates/forward/src/aggregate/domains.rs
+++ b/crates/forward/src/aggregate/domains.rs
@@ -4,7 +4,7 @@
 //! rank, unless it covers far fewer members than another, as after a freeze of its aggregator.
 
 use {
-    super::{SUM_LIFETIME, add_rows, row_load, members::Rank, set_row},
+    super::{SUM_LIFETIME, add_rows, members::Rank, row_load, set_row},
     crate::{endpoint::Load, load::Report, prelude::*},
 };
 
--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -185,7 +185,8 @@
         for (key, member) in &mut self.arena {
             let since = member.unanswered_since;
             if since.is_some_and(|since| now.since(since) > ANSWER_TIMEOUT) {
-                let backoff = INITIAL_RETRY_BACKOFF * 2_u32.pow(member.failures.min(MAX_BACKOFF_DOUBLINGS));
+                let backoff =
+                    INITIAL_RETRY_BACKOFF * 2_u32.pow(member.failures.min(MAX_BACKOFF_DOUBLINGS));
                 member.failures = member.failures.saturating_add(1);
                 member.retry_at = Some(now.after(backoff));
                 member.unanswered_since = None;
@@ -261,7 +262,11 @@
     /// The first skipped instance that is due for another try.
     fn due_for_retry(&self, domain: &str, now: Time) -> Option<MemberKey> {
         let mut ranked = self.ranked(domain);
-        ranked.find(|key| self.arena.get(*key).is_some_and(|member| member.is_retry_due(now)))
+        ranked.find(|key| {
+            self.arena
+                .get(*key)
+                .is_some_and(|member| member.is_retry_due(now))
+        })
     }
 
     fn ranked(&self, domain: &str) -> impl Iterator<Item = MemberKey> {
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -52,7 +52,10 @@
 impl Table {
     /// Updates all rows from the current sums.
     pub fn publish(&mut self, now: Time, sums: &Report) {
-        if self.published.is_some_and(|last| now.since(last) < PUBLISH_INTERVAL) {
+        if self
+            .published
+            .is_some_and(|last| now.since(last) < PUBLISH_INTERVAL)
+        {
             return;
         }
         self.published = Some(now);
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -1,7 +1,7 @@
 //! Rows that a member has received from its aggregators.
 
 use {
-    super::{row_load, domains::covers_enough_members, members::Rank, set_row, table::Changes},
+    super::{domains::covers_enough_members, members::Rank, row_load, set_row, table::Changes},
     crate::{endpoint::Load, load::Report, prelude::*},
     std::collections::VecDeque,
 };
@@ -170,7 +170,10 @@
         let preferred = self.preferred(now);
         let mut views = self.views.iter();
         let view = views.find(|view| Some(view.aggregator.as_str()) == preferred);
-        view.is_none_or(|view| view.rows_reported_at.is_some_and(|reported_at| now.since(reported_at) <= age))
+        view.is_none_or(|view| {
+            view.rows_reported_at
+                .is_some_and(|reported_at| now.since(reported_at) <= age)
+        })
     }
 
     /// Age of the rows of an aggregator.
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -149,7 +149,11 @@
             }
             let cross_domain = endpoint.listing.domain != source.listing.domain;
             let cost = self.cost(key, endpoint, service, run.need(), &loads)?;
-            let cross_domain = if cross_domain { CROSS_DOMAIN_MOVE_COST_MS } else { 0.0 };
+            let cross_domain = if cross_domain {
+                CROSS_DOMAIN_MOVE_COST_MS
+            } else {
+                0.0
+            };
             Some(cost + cross_domain + jitter.cost(key))
         })
     }
@@ -254,7 +258,12 @@
             let load = self.load(key, endpoint, loads);
             let tokens = f64::from(load.tokens.saturating_add(need));
             let same_domain = source_domain == Some(endpoint.listing.domain.as_str());
-            let cost = tokens / max_tokens * FULL_MEMORY_COST_MS + if same_domain { SAME_DOMAIN_COPY_COST_MS } else { 0.0 };
+            let cost = tokens / max_tokens * FULL_MEMORY_COST_MS
+                + if same_domain {
+                    SAME_DOMAIN_COPY_COST_MS
+                } else {
+                    0.0
+                };
             (usable && tokens <= max_tokens).then_some(cost)
         })
     }
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! State of one endpoint, as this instance knows it.
 
-use crate::{load::digest, rate_limit::RateLimiter, prelude::*};
+use crate::{load::digest, prelude::*, rate_limit::RateLimiter};
 
 /// Backoff after the first failed connection; it doubles with each failure.
 ///
@@ -113,7 +113,8 @@
 
     /// Applies an updated entry; a restart resets backoff and failure rate.
     pub fn update(&mut self, listing: Listing, now: Time) {
-        if listing.started_at != self.listing.started_at || listing.address != self.listing.address {
+        if listing.started_at != self.listing.started_at || listing.address != self.listing.address
+        {
             self.avoid_until = Time::default();
             self.failures = 0;
             self.failure_rate = 0.0;
@@ -141,7 +142,8 @@
     /// Records an answer, successful or failed.
     pub fn record_answer(&mut self, failed: bool) {
         self.failures = 0;
-        self.failure_rate += FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
+        self.failure_rate +=
+            FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
     /// Records that it rejected a request because it is full.
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -127,7 +127,8 @@
 
 impl PeerStatus {
     fn is_aggregator(&self, now: Time) -> bool {
-        self.aggregated_at.is_some_and(|at| now.since(at) <= PEER_TIMEOUT)
+        self.aggregated_at
+            .is_some_and(|at| now.since(at) <= PEER_TIMEOUT)
     }
 }
 
@@ -141,7 +142,13 @@
 
 impl Readers {
     /// Applies a report of a peer.
-    pub fn update(&mut self, name: &str, at: Time, is_aggregator: bool, watermarks: [Watermark; TOPICS]) {
+    pub fn update(
+        &mut self,
+        name: &str,
+        at: Time,
+        is_aggregator: bool,
+        watermarks: [Watermark; TOPICS],
+    ) {
         let mut peer = PeerStatus {
             aggregated_at: is_aggregator.then_some(at),
             at,
@@ -194,7 +201,8 @@
             return false;
         }
         let candidates = self.peers.iter().filter(|peer| {
-            now.since(peer.at) <= PEER_TIMEOUT && (own.role == Role::Mesh || peer.is_aggregator(now))
+            now.since(peer.at) <= PEER_TIMEOUT
+                && (own.role == Role::Mesh || peer.is_aggregator(now))
         });
         let is_current = |peer: &&PeerStatus| {
             peer.watermarks[own.topic]
@@ -243,7 +251,10 @@
     /// Whether no peer has reported recently.
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
-        !self.peers.iter().any(|peer| now.since(peer.at) <= PEER_TIMEOUT)
+        !self
+            .peers
+            .iter()
+            .any(|peer| now.since(peer.at) <= PEER_TIMEOUT)
     }
 
     /// Whether an aggregator has reported recently.
@@ -255,11 +266,16 @@
 
     /// Whether a peer has had records at `position` or later for longer than `max_delay`, and they
     /// have not arrived here.
-    fn is_missing_records(&mut self, topic: usize, position: u64, now: Time, max_delay: Duration) -> bool {
-        let peer_is_ahead = self
-            .peers
-            .iter()
-            .any(|peer| now.since(peer.at) <= PEER_TIMEOUT && peer.watermarks[topic].position > position);
+    fn is_missing_records(
+        &mut self,
+        topic: usize,
+        position: u64,
+        now: Time,
+        max_delay: Duration,
+    ) -> bool {
+        let peer_is_ahead = self.peers.iter().any(|peer| {
+            now.since(peer.at) <= PEER_TIMEOUT && peer.watermarks[topic].position > position
+        });
         if !peer_is_ahead {
             self.behind_since[topic] = None;
             return false;
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -218,7 +218,11 @@
                 node.sums
                     .report(now, &mut node.peer_loads, &sender, micros, rows);
                 let changes = known_version.map(|(incarnation, version)| {
-                    let since = if incarnation == node.incarnation { version } else { 0 };
+                    let since = if incarnation == node.incarnation {
+                        version
+                    } else {
+                        0
+                    };
                     node.sums.table.changes(since, 200)
                 });
                 let answer = Answer {
@@ -264,7 +268,8 @@
         if !(self.now / STEP_MS).is_multiple_of(CHECK_INTERVAL_STEPS) {
             return;
         }
-        let offset = usize::try_from(self.now / STEP_MS / CHECK_INTERVAL_STEPS).expect("small") % SAMPLE_EVERY;
+        let offset = usize::try_from(self.now / STEP_MS / CHECK_INTERVAL_STEPS).expect("small")
+            % SAMPLE_EVERY;
         let indices = (offset..self.nodes.len()).step_by(SAMPLE_EVERY);
         for index in indices.filter(|index| !self.nodes[*index].frozen) {
             let (known, actual) = (self.known(index), self.actual(index));
--- a/crates/forward/tests/histories.rs
+++ b/crates/forward/tests/histories.rs
@@ -12,8 +12,8 @@
         prelude::*,
         test_runner::{RngSeed, TestRunner},
     },
-    std::cell::Cell,
     simulation::{ENGINES, INSTANCES, KEYS, Op, Simulation},
+    std::cell::Cell,
 };
 
 /// Default number of simulations.
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -110,10 +110,16 @@
 fn unreachable_endpoint_is_avoided_until_restart() {
     let mut state = instance(&pair());
     let (key, _) = picked(state.pick(at(10), "model", LONG, &[]));
-    state.endpoint_mut(key).expect("known").mark_unreachable(at(100));
+    state
+        .endpoint_mut(key)
+        .expect("known")
+        .mark_unreachable(at(100));
     assert!(!state.endpoint(key).expect("known").usable(at(350)));
     assert!(state.endpoint(key).expect("known").usable(at(400)));
-    state.endpoint_mut(key).expect("known").mark_unreachable(at(400));
+    state
+        .endpoint_mut(key)
+        .expect("known")
+        .mark_unreachable(at(400));
     assert!(!state.endpoint(key).expect("known").usable(at(900)));
     let mut reborn = listing("m1", "model", "a");
     reborn.started_at = Some(2);
--- a/crates/forward/tests/load.rs
+++ b/crates/forward/tests/load.rs
@@ -95,7 +95,10 @@
     }
     // Ten random choices among the 25 engines of a domain collide 1.6 times, identical ones 9
     // times.
-    assert!(collisions < 20 * 4, "{collisions} of 200 prompts shared an engine");
+    assert!(
+        collisions < 20 * 4,
+        "{collisions} of 200 prompts shared an engine"
+    );
 }
 
 /// Copies must not take memory that runs need, but each run has one while memory is free.
@@ -231,7 +234,10 @@
         .map(|(key, _)| key)
         .collect::<Vec<_>>();
     for key in crashed {
-        state.endpoint_mut(key).expect("known").mark_unreachable(at(20));
+        state
+            .endpoint_mut(key)
+            .expect("known")
+            .mark_unreachable(at(20));
     }
     let (next, _) = picked(state.pick(at(21), "model", LONG, &[]));
     assert_ne!(domain(&state, next), "a");
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -8,7 +8,10 @@
         aggregate::members::Role,
         freshness::Freshness,
         load::PeerLoads,
-        reader::{Cause, MAX_WATERMARK_AGE, MAX_INSTANCE_LIST_AGE, EchoTimestamp, LocalTopic, Readers, Watermark},
+        reader::{
+            Cause, EchoTimestamp, LocalTopic, MAX_INSTANCE_LIST_AGE, MAX_WATERMARK_AGE, Readers,
+            Watermark,
+        },
     },
 };
 
@@ -212,7 +215,8 @@
         for (other, peer) in names.iter().enumerate() {
             let same_domain = other % 3 == index % 3;
             let linked_aggregators = is_aggregator(index) && is_aggregator(other) && !partitioned;
-            let receives_reports = other != index && ((is_aggregator(other) && same_domain) || linked_aggregators);
+            let receives_reports =
+                other != index && ((is_aggregator(other) && same_domain) || linked_aggregators);
             if receives_reports || (same_domain && is_aggregator(index) && other != index) {
                 readers.update(peer, at(1000), is_aggregator(other), watermark(300, 7));
             }
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -377,8 +377,15 @@
             self.apply_records(message.to, OPERATORS, end);
         }
         let position = self.instances[message.to].position[OPERATORS] as u64;
-        let Instance { booted_at, incarnation, .. } = self.instances[message.to];
-        if let Some(asked) = message.watermark.confirms(message.echo, incarnation, position) {
+        let Instance {
+            booted_at,
+            incarnation,
+            ..
+        } = self.instances[message.to];
+        if let Some(asked) = message
+            .watermark
+            .confirms(message.echo, incarnation, position)
+        {
             self.confirm(message.to, OPERATORS, booted_at + asked.micros() / 1000);
         }
     }
@@ -417,7 +424,11 @@
         };
         let state = &mut instance.state;
         let name = id(state, endpoint);
-        state.endpoint_mut(endpoint).expect("picked").rate_limiter.record_send(now);
+        state
+            .endpoint_mut(endpoint)
+            .expect("picked")
+            .rate_limiter
+            .record_send(now);
         let copy = copy.map(|copy| id(&instance.state, copy));
         let engine = engine_of(&name);
         self.check_endpoint(index, engine);
@@ -447,11 +458,17 @@
             .sends
             .iter()
             .filter(|(other, sent)| *other == engine && *sent + 1000 > self.now);
-        assert!(recent.count() <= COLD_RATE_PER_S, "rate of a cold engine exceeded");
+        assert!(
+            recent.count() <= COLD_RATE_PER_S,
+            "rate of a cold engine exceeded"
+        );
     }
 
     fn check_refusal(&self, index: usize, key: usize, refusal: Refusal) {
-        assert!(refusal.not_run(), "unsent request was reported as possibly run: {refusal:?}");
+        assert!(
+            refusal.not_run(),
+            "unsent request was reported as possibly run: {refusal:?}"
+        );
         let (held, since) = self.keys[key];
         let confirmed = self.instances[index].confirmed[OPERATORS];
         match refusal {
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -9,7 +9,7 @@
     },
     forward::{
         aggregate::members::Role,
-        reader::{Cause, MAX_WATERMARK_AGE, MAX_INSTANCE_LIST_AGE, LocalTopic},
+        reader::{Cause, LocalTopic, MAX_INSTANCE_LIST_AGE, MAX_WATERMARK_AGE},
     },
     platform::store::{Keyed, Topic},
     rand::RngExt as _,
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -39,7 +39,9 @@
     let role = role(shared);
     if role == Role::Mesh {
         let mut state = shared.state.borrow_mut();
-        state.peer_loads.update(&report.name, now, report.number, loads);
+        state
+            .peer_loads
+            .update(&report.name, now, report.number, loads);
     } else if shared.is_near(&report.name) {
         // A report of another domain, whose sender takes instances for few yet, is counted
         // in the sum of its own domain.
--- a/crates/proxy/src/inquire.rs
+++ b/crates/proxy/src/inquire.rs
@@ -46,7 +46,10 @@
         }
         Err(why) => {
             log::info!(endpoint, list_age_ms, why; "engine did not say whether it leaves");
-            shared.state.borrow_mut().record_unanswered_probe(clock::now(), key);
+            shared
+                .state
+                .borrow_mut()
+                .record_unanswered_probe(clock::now(), key);
         }
     }
 }
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -195,7 +195,11 @@
     let ticket = admit(shared, &inbound).await?;
     route.name.clone_from(&ticket.route.name);
     route.target = ticket.route.target;
-    shared.state.borrow_mut().budget.record_request(&ticket.service, now);
+    shared
+        .state
+        .borrow_mut()
+        .budget
+        .record_request(&ticket.service, now);
     let original = Original {
         body,
         inbound,
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -92,7 +92,10 @@
         Ok(settings) if settings == known => known,
         Ok(settings) => {
             log::info!(settings:?; "settings changed");
-            shared.state.borrow_mut().update_settings(settings.decisions());
+            shared
+                .state
+                .borrow_mut()
+                .update_settings(settings.decisions());
             settings
         }
         Err(error) => {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -345,7 +345,9 @@
     /// to hear of it before their next choice.
     pub fn take_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
-        let State { peer_loads, sums, .. } = &mut *state;
+        let State {
+            peer_loads, sums, ..
+        } = &mut *state;
         let before = peer_loads.report(member);
         let grown = loads.iter().filter(|(digest, load)| {
             let before = before.iter().find(|(other, _)| other == digest);
@@ -363,7 +365,9 @@
     pub fn publish(&self, own: Report) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let State { peer_loads, sums, .. } = &mut *state;
+        let State {
+            peer_loads, sums, ..
+        } = &mut *state;
         peer_loads.expire(now);
         sums.publish(now, peer_loads, own);
     }
