--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -63,7 +63,7 @@
         self.retry_at.is_none()
     }
 
-    fn is_retry_due(&self, now: Time) -> bool {
+    fn due(&self, now: Time) -> bool {
         self.retry_at.is_some_and(|retry| now >= retry)
     }
 }
@@ -262,11 +262,7 @@
     /// The first skipped instance that is due for another try.
     fn due_for_retry(&self, domain: &str, now: Time) -> Option<MemberKey> {
         let mut ranked = self.ranked(domain);
-        ranked.find(|key| {
-            self.arena
-                .get(*key)
-                .is_some_and(|member| member.is_retry_due(now))
-        })
+        ranked.find(|key| self.arena.get(*key).is_some_and(|member| member.due(now)))
     }
 
     fn ranked(&self, domain: &str) -> impl Iterator<Item = MemberKey> {
--- a/crates/forward/src/aggregate/view.rs
+++ b/crates/forward/src/aggregate/view.rs
@@ -170,10 +170,7 @@
         let preferred = self.preferred(now);
         let mut views = self.views.iter();
         let view = views.find(|view| Some(view.aggregator.as_str()) == preferred);
-        view.is_none_or(|view| {
-            view.rows_reported_at
-                .is_some_and(|reported_at| now.since(reported_at) <= age)
-        })
+        view.is_none_or(|view| view.rows_reported_at.is_some_and(|at| now.since(at) <= age))
     }
 
     /// Age of the rows of an aggregator.
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -13,7 +13,7 @@
 pub const TOPICS: usize = 3;
 
 /// Time without a report after which a peer no longer counts as a reader.
-const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
+const PEER_TTL: Duration = Duration::from_millis(1500);
 
 /// Time that relayed records may take before they count as missing.
 const RELAY_DELAY: Duration = Duration::from_millis(120);
@@ -128,7 +128,7 @@
 impl PeerStatus {
     fn is_aggregator(&self, now: Time) -> bool {
         self.aggregated_at
-            .is_some_and(|at| now.since(at) <= PEER_TIMEOUT)
+            .is_some_and(|at| now.since(at) <= PEER_TTL)
     }
 }
 
@@ -201,8 +201,7 @@
             return false;
         }
         let candidates = self.peers.iter().filter(|peer| {
-            now.since(peer.at) <= PEER_TIMEOUT
-                && (own.role == Role::Mesh || peer.is_aggregator(now))
+            now.since(peer.at) <= PEER_TTL && (own.role == Role::Mesh || peer.is_aggregator(now))
         });
         let is_current = |peer: &&PeerStatus| {
             peer.watermarks[own.topic]
@@ -251,10 +250,7 @@
     /// Whether no peer has reported recently.
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
-        !self
-            .peers
-            .iter()
-            .any(|peer| now.since(peer.at) <= PEER_TIMEOUT)
+        !self.peers.iter().any(|peer| now.since(peer.at) <= PEER_TTL)
     }
 
     /// Whether an aggregator has reported recently.
@@ -264,18 +260,19 @@
         peers.any(|peer| peer.is_aggregator(now))
     }
 
-    /// Whether a peer has had records at `position` or later for longer than `max_delay`, and they
+    /// Whether a peer has had records at `from` or later for longer than `max_delay`, and they
     /// have not arrived here.
     fn is_missing_records(
         &mut self,
         topic: usize,
-        position: u64,
+        from: u64,
         now: Time,
         max_delay: Duration,
     ) -> bool {
-        let peer_is_ahead = self.peers.iter().any(|peer| {
-            now.since(peer.at) <= PEER_TIMEOUT && peer.watermarks[topic].position > position
-        });
+        let peer_is_ahead = self
+            .peers
+            .iter()
+            .any(|peer| now.since(peer.at) <= PEER_TTL && peer.watermarks[topic].position > from);
         if !peer_is_ahead {
             self.behind_since[topic] = None;
             return false;
