--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -37,7 +37,7 @@
     Aggregator,
     /// Where there are few instances: reports to all others.
     #[default]
-    Mesh,
+    Equal,
     /// Where there are many instances: reports to the aggregators of its failure domain.
     Member,
 }
@@ -204,7 +204,7 @@
             return Role::Member;
         };
         if !self.is_aggregated() {
-            return Role::Mesh;
+            return Role::Equal;
         }
         let domain = &self.arena[key].domain;
         if self.aggregators(domain, key).contains(&key) {
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -182,7 +182,7 @@
             return Some(Cause::Old);
         }
         let max_delay = match own.role {
-            Role::Mesh => RELAY_DELAY,
+            Role::Equal => RELAY_DELAY,
             Role::Aggregator | Role::Member => AGGREGATED_RELAY_DELAY,
         };
         self.is_missing_records(own.topic, own.position, now, max_delay)
@@ -201,7 +201,7 @@
             return false;
         }
         let candidates = self.peers.iter().filter(|peer| {
-            now.since(peer.at) <= PEER_TTL && (own.role == Role::Mesh || peer.is_aggregator(now))
+            now.since(peer.at) <= PEER_TTL && (own.role == Role::Equal || peer.is_aggregator(now))
         });
         let is_current = |peer: &&PeerStatus| {
             peer.watermarks[own.topic]
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -148,7 +148,7 @@
             match role {
                 Role::Aggregator if tick.is_multiple_of(SUM_INTERVAL_STEPS) => self.sum(index),
                 Role::Member if tick.is_multiple_of(REPORT_INTERVAL_STEPS) => self.report(index),
-                Role::Aggregator | Role::Mesh | Role::Member => {}
+                Role::Aggregator | Role::Equal | Role::Member => {}
             }
         }
     }
@@ -497,5 +497,5 @@
     members.set("e2", "a", 120);
     assert_eq!(members.role("e1"), Role::Member);
     members.set("e1", "a", 120);
-    assert_eq!(members.role("e1"), Role::Mesh);
+    assert_eq!(members.role("e1"), Role::Equal);
 }
--- a/crates/forward/tests/probes.rs
+++ b/crates/forward/tests/probes.rs
@@ -14,7 +14,7 @@
     state.confirm_list(at(1000), at(990));
     assert!(state.due_probes(at(2000)).is_empty());
     let asked_at = (2000..2600).find(|now| !state.due_probes(at(*now)).is_empty());
-    let asked_at = asked_at.expect("an inquiry well before an engine's notice is over");
+    let asked_at = asked_at.expect("a probe before the notice of an engine ends");
     assert!(state.due_probes(at(asked_at + 100)).is_empty());
     assert_eq!(state.due_probes(at(asked_at + 600)), [first]);
     assert!(!state.must_move(run));
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -25,7 +25,7 @@
         freshness,
         name,
         position,
-        role: Role::Mesh,
+        role: Role::Equal,
         topic: 0,
     }
 }
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -191,7 +191,7 @@
 /// read for each of them by each of them would be thousands of calls.
 /// Among few, a new instance is to be heard at once.
 fn pause(shared: &Shared, topic: Topic) -> Duration {
-    let many = gossip::role(shared) != Role::Mesh;
+    let many = gossip::role(shared) != Role::Equal;
     match topic {
         Topic::Instances if many => PAUSE_INSTANCES,
         _ if many && shared.readers.borrow().is_isolated(clock::now()) => PAUSE_ALONE,
--- a/crates/proxy/src/gossip/entry.rs
+++ b/crates/proxy/src/gossip/entry.rs
@@ -35,7 +35,7 @@
         let known = follow::own(shared, Topic::Instances);
         let (many, drops) = match role(shared) {
             Role::Aggregator => (true, true),
-            Role::Mesh => (false, shared.readers.borrow().is_reader(known, now)),
+            Role::Equal => (false, shared.readers.borrow().is_reader(known, now)),
             Role::Member => (true, false),
         };
         if !drops {
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -37,7 +37,7 @@
     note(shared, &report.name, report.life, report.number);
     let loads = report.loads.drain(..).map(load).collect();
     let role = role(shared);
-    if role == Role::Mesh {
+    if role == Role::Equal {
         let mut state = shared.state.borrow_mut();
         state
             .peer_loads
--- a/crates/proxy/src/gossip/links.rs
+++ b/crates/proxy/src/gossip/links.rs
@@ -28,7 +28,7 @@
         let listed = shared.fellows.addresses(&shared.settings.instance.name);
         let wanted = wanted(shared);
         datagrams.retain(|address, side| {
-            let accepted = side == Side::Other || role == Role::Mesh;
+            let accepted = side == Side::Other || role == Role::Equal;
             listed.binary_search(&address).is_ok()
                 && (accepted || wanted.iter().any(|(other, _)| *other == address))
         });
@@ -45,7 +45,7 @@
             });
             let rounds = missing[place].1;
             missing[place].1 += 1;
-            let is_equal = role == Role::Mesh;
+            let is_equal = role == Role::Equal;
             let opens = !mutual || own < address || (!is_equal && rounds >= OPENED_BY_OTHER);
             if opens {
                 open(datagrams, address);
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/tell.rs
@@ -55,7 +55,7 @@
         let role = role(shared);
         match role {
             Role::Aggregator => sum_due(shared, whole_at).await,
-            Role::Mesh => changed(shared, LONGEST.saturating_sub(SHORTEST)).await,
+            Role::Equal => changed(shared, LONGEST.saturating_sub(SHORTEST)).await,
             Role::Member => due(shared).await,
         }
         links::settle(shared, datagrams);
@@ -73,7 +73,7 @@
                 report(shared, datagrams, &links, &loads);
                 sum(shared, datagrams, &links, &loads, is_whole);
             }
-            Role::Mesh => {
+            Role::Equal => {
                 report(shared, datagrams, &links, &loads);
                 sleep(SHORTEST).await;
             }
@@ -153,7 +153,7 @@
     let now = clock::now();
     let role = role(shared);
     let number = now.micros();
-    let many = role != Role::Mesh;
+    let many = role != Role::Equal;
     let rows = loads.iter().copied().map(row).collect::<Vec<_>>();
     let mut report = Report {
         echo: (0, 0),
