--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -1,66 +1,65 @@
-//! Who adds the load of a failure domain up, and whom an instance talks to.
+//! Registered instances, their roles, and the links between them.
 //!
-//! Every instance ranks the instances of a failure domain alike, the strongest first, and
-//! passes over those that do not answer it. Two views that differ cost a few words and a
-//! sum that lacks some members; they never make one count twice.
+//! Every instance ranks the instances of a failure domain in the same order and skips those that do
+//! not answer it. Where these views differ, there are a few extra messages and a sum that lacks
+//! some members, but nothing is counted twice.
 
 use {crate::prelude::*, slotmap::SlotMap};
 
-/// Instances of a failure domain that add up its load; the second one takes over when the
-/// first falls silent.
-pub const AGGREGATORS: usize = 2;
+/// Number of aggregators in a failure domain; the second one replaces the first if that fails.
+pub const AGGREGATORS_PER_DOMAIN: usize = 2;
 
-/// Other instances up to which words to all cost less than sums.
-const MANY: usize = 16;
+/// Maximum number of other instances up to which each reports to all others.
+const MAX_MESH_PEERS: usize = 16;
 
-/// Time without an answer after which an instance is passed over.
-const SILENT: Duration = Duration::from_secs(1);
+/// Time without an answer after which an instance is skipped.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a connection to open. An instance that has just started is known to the other
-/// side only once its entry was read there.
-const CONNECTING: Duration = Duration::from_millis(1500);
+/// Additional time for opening a connection, since the other side accepts it only once it has read
+/// the entry of this instance.
+const CONNECT_GRACE: Duration = Duration::from_millis(1500);
 
-/// First pause before an instance that was passed over is tried again; it doubles.
-const FIRST_RETRY: Duration = Duration::from_millis(1500);
+/// Backoff before a skipped instance is tried again; it doubles with each failure.
+const INITIAL_RETRY_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// Most doublings of [`FIRST_RETRY`].
-const DOUBLINGS: u32 = 2;
+/// Maximum number of doublings of [`INITIAL_RETRY_BACKOFF`].
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 slotmap::new_key_type! {
     /// Key of an instance in [`Members`].
     pub struct MemberKey;
 }
 
-/// Part of an instance in what instances tell each other.
+/// Role of an instance in the exchange of reports.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Role {
-    /// One of many that adds up reports of its failure domain.
+    /// Where there are many instances: adds up the reports of its failure domain.
     Aggregator,
-    /// One of few, which all tell each other.
+    /// Where there are few instances: reports to all others.
     #[default]
     Equal,
-    /// One of many that reports to aggregators.
+    /// Where there are many instances: reports to the aggregators of its failure domain.
     Member,
 }
 
-/// Place in a failure domain: processor share, the largest first, then a hash.
+/// Rank in a failure domain: largest processor share first, then by hash.
 pub type Rank = (std::cmp::Reverse<u32>, u64);
 
-/// An instance as it published itself.
+/// A registered instance.
 #[derive(Clone, Debug)]
 struct Member {
     domain: String,
     failures: u32,
     name: String,
     rank: Rank,
-    /// When one that was passed over is tried again.
+    /// When it is tried again, if it is skipped.
     retry_at: Option<Time>,
-    /// Since when it has been talked to without an answer.
+    /// When the oldest unanswered message was sent to it.
     unanswered_since: Option<Time>,
 }
 
 impl Member {
-    const fn trusted(&self) -> bool {
+    const fn is_responsive(&self) -> bool {
         self.retry_at.is_none()
     }
 
@@ -74,13 +73,13 @@
 pub struct Link {
     /// The instance.
     pub key: MemberKey,
-    /// Whether the other one is expected to keep a connection to this one as well.
+    /// Whether the other instance also keeps a connection to this one.
     pub mutual: bool,
-    /// Whether it stands in the own failure domain.
-    pub near: bool,
+    /// Whether it is in the same failure domain as this instance.
+    pub same_domain: bool,
 }
 
-/// All instances that have published themselves, the own one included.
+/// All registered instances, this one included.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     arena: SlotMap<MemberKey, Member>,
@@ -91,8 +90,8 @@
 }
 
 impl Members {
-    /// Takes the entry of an instance in; `processor` is its share of a core in thousandths.
-    /// One that has started anew is tried at once.
+    /// Adds or replaces an instance; `processor` is its share of a core in thousandths. A replaced
+    /// one is no longer skipped.
     pub fn set(&mut self, name: &str, domain: &str, processor: u32) {
         self.remove(name);
         let rank = rank(name, processor);
@@ -104,18 +103,18 @@
             retry_at: None,
             unanswered_since: None,
         });
-        let place = self
+        let index = self
             .names
             .partition_point(|(other, _)| other.as_str() < name);
-        self.names.insert(place, (name.to_string(), key));
+        self.names.insert(index, (name.to_string(), key));
         let entry = (domain.to_string(), rank, key);
-        let place = self.ranks.partition_point(|(other, other_rank, _)| {
+        let index = self.ranks.partition_point(|(other, other_rank, _)| {
             (other.as_str(), other_rank) < (domain, &rank)
         });
-        self.ranks.insert(place, entry);
+        self.ranks.insert(index, entry);
     }
 
-    /// Forgets an instance whose entry is gone.
+    /// Removes an instance whose entry was removed.
     pub fn remove(&mut self, name: &str) {
         let Some(key) = self.find(name) else {
             return;
@@ -125,16 +124,16 @@
         self.ranks.retain(|(_, _, other)| *other != key);
     }
 
-    /// Instances, the own one included.
+    /// Number of instances, this one included.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are so many that load is told by sums.
+    /// Whether there are so many instances that load is aggregated.
     #[must_use]
-    pub const fn are_many(&self) -> bool {
-        self.names.len() > MANY + 1
+    pub const fn is_aggregated(&self) -> bool {
+        self.names.len() > MAX_MESH_PEERS + 1
     }
 
     /// Name of an instance.
@@ -150,28 +149,28 @@
         Some(&member.domain)
     }
 
-    /// Place of an instance in its failure domain; lower ones come first.
+    /// Rank of an instance in its failure domain; lower ones come first.
     #[must_use]
     pub fn rank(&self, name: &str) -> Option<Rank> {
         let member = self.arena.get(self.find(name)?)?;
         Some(member.rank)
     }
 
-    /// An instance is talked to and owes an answer; one to which no connection is open yet
-    /// has some more time.
-    pub fn asked(&mut self, key: MemberKey, now: Time, connected: bool) {
+    /// Records that a message was sent to an instance, which has to answer in time. Without an open
+    /// connection it gets `CONNECT_GRACE` more.
+    pub fn expect_answer(&mut self, key: MemberKey, now: Time, connected: bool) {
         if let Some(member) = self.arena.get_mut(key) {
             let since = if connected {
                 now
             } else {
-                now.after(CONNECTING)
+                now.after(CONNECT_GRACE)
             };
             member.unanswered_since.get_or_insert(since);
         }
     }
 
-    /// An instance was heard of.
-    pub fn heard(&mut self, name: &str) {
+    /// Records that a message was received from an instance.
+    pub fn mark_responsive(&mut self, name: &str) {
         let Some(member) = self.find(name).and_then(|key| self.arena.get_mut(key)) else {
             return;
         };
@@ -180,16 +179,16 @@
         member.unanswered_since = None;
     }
 
-    /// Passes over instances that have been silent for too long; returns them, so that
-    /// their connections are opened anew.
-    pub fn settle(&mut self, now: Time) -> Vec<MemberKey> {
+    /// Skips instances that did not answer in time; returns them, so that the caller can reconnect.
+    pub fn skip_unresponsive(&mut self, now: Time) -> Vec<MemberKey> {
         let mut silent = Vec::new();
         for (key, member) in &mut self.arena {
             let since = member.unanswered_since;
-            if since.is_some_and(|since| now.since(since) > SILENT) {
-                let pause = FIRST_RETRY * 2_u32.pow(member.failures.min(DOUBLINGS));
+            if since.is_some_and(|since| now.since(since) > ANSWER_TIMEOUT) {
+                let backoff =
+                    INITIAL_RETRY_BACKOFF * 2_u32.pow(member.failures.min(MAX_BACKOFF_DOUBLINGS));
                 member.failures = member.failures.saturating_add(1);
-                member.retry_at = Some(now.after(pause));
+                member.retry_at = Some(now.after(backoff));
                 member.unanswered_since = None;
                 silent.push(key);
             }
@@ -197,37 +196,37 @@
         silent
     }
 
-    /// Part of the own instance; a member until its own entry is known, since nobody can say
-    /// before how many there are.
+    /// Role of this instance; [`Role::Member`] until its own entry is known, since the number of
+    /// instances is unknown before.
     #[must_use]
     pub fn role(&self, own: &str) -> Role {
         let Some(key) = self.find(own) else {
             return Role::Member;
         };
-        if !self.are_many() {
+        if !self.is_aggregated() {
             return Role::Equal;
         }
         let domain = &self.arena[key].domain;
-        if self.first(domain, key).contains(&key) {
+        if self.aggregators(domain, key).contains(&key) {
             return Role::Aggregator;
         }
         Role::Member
     }
 
-    /// Instances to keep a connection to: all others if they are few; else the aggregators
-    /// of the own failure domain, and for an aggregator those of the other domains.
+    /// Instances to keep a connection to: all others where there are few; else the aggregators of
+    /// the own failure domain, and for an aggregator also those of the other domains.
     #[must_use]
     pub fn links(&self, own: &str, now: Time) -> Vec<Link> {
         let Some(key) = self.find(own) else {
             return Vec::new();
         };
         let domain = self.arena[key].domain.as_str();
-        if !self.are_many() {
+        if !self.is_aggregated() {
             let others = self.arena.iter().filter(|(other, _)| *other != key);
             let links = others.map(|(key, other)| Link {
                 key,
                 mutual: true,
-                near: other.domain == domain,
+                same_domain: other.domain == domain,
             });
             return links.collect();
         }
@@ -235,33 +234,33 @@
         let mut links = Vec::new();
         let mut last = "";
         for (other, _, _) in &self.ranks {
-            let near = other == domain;
-            if other == last || !(near || aggregates) {
+            let same_domain = other == domain;
+            if other == last || !(same_domain || aggregates) {
                 continue;
             }
             last = other;
-            let chosen = self.first(other, key);
-            let chosen = chosen.into_iter().chain(self.retried(other, now));
+            let chosen = self.aggregators(other, key);
+            let chosen = chosen.into_iter().chain(self.due_for_retry(other, now));
             links.extend(chosen.filter(|other| *other != key).map(|key| Link {
                 key,
                 mutual: aggregates,
-                near,
+                same_domain,
             }));
         }
         links
     }
 
     /// The aggregators of a failure domain as this instance sees them.
-    fn first(&self, domain: &str, own: MemberKey) -> Vec<MemberKey> {
-        let trusted = self.ranked(domain).filter(|key| {
+    fn aggregators(&self, domain: &str, own: MemberKey) -> Vec<MemberKey> {
+        let responsive = self.ranked(domain).filter(|key| {
             let member = self.arena.get(*key);
-            *key == own || member.is_some_and(Member::trusted)
+            *key == own || member.is_some_and(Member::is_responsive)
         });
-        trusted.take(AGGREGATORS).collect()
+        responsive.take(AGGREGATORS_PER_DOMAIN).collect()
     }
 
-    /// One that was passed over and is to be tried again.
-    fn retried(&self, domain: &str, now: Time) -> Option<MemberKey> {
+    /// The first skipped instance that is due for another try.
+    fn due_for_retry(&self, domain: &str, now: Time) -> Option<MemberKey> {
         let mut ranked = self.ranked(domain);
         ranked.find(|key| self.arena.get(*key).is_some_and(|member| member.due(now)))
     }
@@ -277,10 +276,10 @@
     }
 
     fn find(&self, name: &str) -> Option<MemberKey> {
-        let place = self
+        let index = self
             .names
             .binary_search_by(|(other, _)| other.as_str().cmp(name));
-        place.ok().map(|place| self.names[place].1)
+        index.ok().map(|index| self.names[index].1)
     }
 }
 
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -1,24 +1,24 @@
-//! What an aggregator tells its members.
+//! Rows that an aggregator sends to its members.
 //!
-//! A member says up to which version it has the table, and gets the rows that have changed
-//! since: a lost answer costs nothing, and a row that changes little is not sent again.
+//! A member sends the version that it has and gets the rows that have changed since. A lost answer
+//! therefore needs no handling, and small changes are not sent.
 
 use crate::{endpoint::Load, load::Report, prelude::*};
 
-/// Tokens by which a row has to change to be told again; a step of a choice's cost that is
-/// below what the draw among endpoints adds.
-const TOKENS: u32 = 512;
+/// Change of the tokens of a row from which on it is sent again; its effect on a cost is below the
+/// random addition.
+const MIN_CHANGE_TOKENS: u32 = 512;
 
-/// The same for tokens of prompts being read.
-const READING: u32 = 256;
+/// The same for prefill tokens.
+const MIN_CHANGE_PREFILL_TOKENS: u32 = 256;
 
-/// Shortest time between two updates of the table.
-const PAUSE: Duration = Duration::from_millis(40);
+/// Minimum interval between two updates of the table.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time after which a row without load is forgotten; endpoints come and go under new ids.
-const KEPT: Duration = Duration::from_secs(10);
+/// Time after which a row without load is removed; endpoints are replaced under new ids.
+const EMPTY_ROW_RETENTION: Duration = Duration::from_secs(10);
 
-/// A row as it was told.
+/// A row as sent to members.
 #[derive(Debug)]
 struct Row {
     at: Time,
@@ -30,19 +30,19 @@
 /// Rows that have changed since a version.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Changes {
-    /// Whether the member has to forget what it held.
-    pub anew: bool,
-    /// The rows, the longest unsaid first.
+    /// Whether the rows replace all that the member has.
+    pub snapshot: bool,
+    /// The rows, in the order of their last change.
     pub rows: Report,
-    /// Version that the member has with them.
+    /// Version that the member has with these rows.
     pub version: u64,
 }
 
-/// The sums as members were told them.
+/// Sums as sent to members.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// Version from which on rows have been forgotten.
-    forgotten: u64,
+    /// Highest version of a removed row.
+    pruned_version: u64,
     published: Option<Time>,
     /// Sorted by digest.
     rows: Vec<Row>,
@@ -50,17 +50,20 @@
 }
 
 impl Table {
-    /// Takes the present sums in.
+    /// Updates all rows from the current sums.
     pub fn publish(&mut self, now: Time, sums: &Report) {
-        if self.published.is_some_and(|last| now.since(last) < PAUSE) {
+        if self
+            .published
+            .is_some_and(|last| now.since(last) < PUBLISH_INTERVAL)
+        {
             return;
         }
         self.published = Some(now);
-        self.forget(now);
+        self.prune(now);
         let known = self.rows.iter().map(|row| row.digest);
         for digest in known.collect::<Vec<_>>() {
-            let place = sums.binary_search_by_key(&digest, |(other, _)| *other);
-            let load = place.map_or_else(|_| Load::default(), |place| sums[place].1);
+            let index = sums.binary_search_by_key(&digest, |(other, _)| *other);
+            let load = index.map_or_else(|_| Load::default(), |index| sums[index].1);
             self.set(now, digest, load);
         }
         for (digest, load) in sums {
@@ -68,17 +71,17 @@
         }
     }
 
-    /// Takes the present load of one endpoint in.
+    /// Updates the row of one endpoint.
     pub fn set(&mut self, now: Time, digest: u32, load: Load) {
         match self.rows.binary_search_by_key(&digest, |row| row.digest) {
-            Ok(place) if differs(load, self.rows[place].load) => {
+            Ok(index) if differs(load, self.rows[index].load) => {
                 self.version += 1;
-                let row = &mut self.rows[place];
+                let row = &mut self.rows[index];
                 row.at = now;
                 row.changed = self.version;
                 row.load = load;
             }
-            Err(place) if load != Load::default() => {
+            Err(index) if load != Load::default() => {
                 self.version += 1;
                 let row = Row {
                     at: now,
@@ -86,50 +89,50 @@
                     digest,
                     load,
                 };
-                self.rows.insert(place, row);
+                self.rows.insert(index, row);
             }
             Ok(_) | Err(_) => {}
         }
     }
 
-    /// Up to `most` rows that have changed since a version.
+    /// Up to `max_rows` rows that have changed since a version.
     #[must_use]
-    pub fn changes(&self, since: u64, most: usize) -> Changes {
-        let anew = since < self.forgotten || since > self.version;
-        let since = if anew { 0 } else { since };
+    pub fn changes(&self, since: u64, max_rows: usize) -> Changes {
+        let snapshot = since < self.pruned_version || since > self.version;
+        let since = if snapshot { 0 } else { since };
         let changed = self.rows.iter().filter(|row| row.changed > since);
         let mut changed = changed.collect::<Vec<_>>();
         changed.sort_unstable_by_key(|row| row.changed);
-        let complete = changed.len() <= most;
-        changed.truncate(most);
+        let complete = changed.len() <= max_rows;
+        changed.truncate(max_rows);
         let version = match changed.last() {
             Some(last) if !complete => last.changed,
             _ => self.version,
         };
         let rows = changed.iter().map(|row| (row.digest, row.load));
         Changes {
-            anew: anew || since == 0,
+            snapshot: snapshot || since == 0,
             rows: rows.collect(),
             version,
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        let forgotten = &mut self.forgotten;
+    fn prune(&mut self, now: Time) {
+        let pruned_version = &mut self.pruned_version;
         self.rows.retain(|row| {
-            let kept = row.load != Load::default() || now.since(row.at) <= KEPT;
-            if !kept {
-                *forgotten = (*forgotten).max(row.changed);
+            let keep = row.load != Load::default() || now.since(row.at) <= EMPTY_ROW_RETENTION;
+            if !keep {
+                *pruned_version = (*pruned_version).max(row.changed);
             }
-            kept
+            keep
         });
     }
 }
 
 fn differs(one: Load, other: Load) -> bool {
     one.requests != other.requests
-        || one.tokens.abs_diff(other.tokens) >= TOKENS
-        || one.reading.abs_diff(other.reading) >= READING
-        || one.copies.abs_diff(other.copies) >= TOKENS
+        || one.tokens.abs_diff(other.tokens) >= MIN_CHANGE_TOKENS
+        || one.prefill_tokens.abs_diff(other.prefill_tokens) >= MIN_CHANGE_PREFILL_TOKENS
+        || one.copies.abs_diff(other.copies) >= MIN_CHANGE_TOKENS
         || (one == Load::default()) != (other == Load::default())
 }
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -1,53 +1,54 @@
-//! What is known of one endpoint.
+//! State of one endpoint, as this instance knows it.
 
-use crate::{load::digest, pace::Pace, prelude::*};
+use crate::{load::digest, prelude::*, rate_limit::RateLimiter};
 
-/// First pause after an endpoint could not be reached.
+/// Backoff after the first failed connection; it doubles with each failure.
 ///
-/// An engine that is replaced is back after some seconds, and a reset connection says
-/// nothing about the next one, so the pause starts short and doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+/// It is short because a replaced engine is back within seconds and a reset connection may be a
+/// single event.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Longest pause before an unreachable endpoint is tried again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum backoff before an unreachable endpoint is tried again.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Pause after an endpoint said that it is full; about the time in which a place frees up.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+/// Backoff after an endpoint rejected a request because it is full; about the time in which a slot
+/// becomes free.
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Weight of one answer in the running share of failures; about the last ten count.
-const FAILURE_STEP: f64 = 0.1;
+/// Weight of the latest answer in the moving average of the failure rate.
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
 
-/// An endpoint as it registered itself.
+/// An endpoint as registered in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
     /// IP address and port.
     pub address: SocketAddr,
-    /// When it started, in its own wall time; tells two lives under one id apart.
-    pub born: Option<u64>,
-    /// How much longer it is cold.
+    /// Start time by the endpoint's own clock; a new value for the same id means a restart.
+    pub started_at: Option<u64>,
+    /// Remaining time for which it is cold.
     pub cold: Duration,
     /// Failure domain.
     pub domain: String,
-    /// Id; the endpoint refuses requests that are meant for another id.
+    /// Id; the endpoint rejects requests that name another id.
     pub id: String,
     /// Whether it is about to leave and takes no new work.
     pub leaving: bool,
     /// Name of its service.
     pub service: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// Work at an endpoint.
+/// Load of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Part of [`Self::tokens`] that copies of runs at other engines need.
+    /// Share of [`Self::tokens`] for copies of runs at other engines.
     pub copies: u32,
-    /// KV memory that its requests are expected to need together, in tokens.
+    /// Expected KV memory of its requests, in tokens.
     pub tokens: u32,
-    /// Prompt tokens of requests that have made no token yet.
-    pub reading: u32,
-    /// Requests.
+    /// Prompt tokens of requests that have not produced a token yet.
+    pub prefill_tokens: u32,
+    /// Number of requests.
     pub requests: u32,
 }
 
@@ -56,68 +57,69 @@
     pub const fn add(&mut self, other: Self) {
         self.copies = self.copies.saturating_add(other.copies);
         self.tokens = self.tokens.saturating_add(other.tokens);
-        self.reading = self.reading.saturating_add(other.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_add(other.prefill_tokens);
         self.requests = self.requests.saturating_add(other.requests);
     }
 
-    /// Takes away a load that was added before.
+    /// Subtracts a load that was added before.
     pub const fn subtract(&mut self, other: Self) {
         self.copies = self.copies.saturating_sub(other.copies);
         self.tokens = self.tokens.saturating_sub(other.tokens);
-        self.reading = self.reading.saturating_sub(other.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
         self.requests = self.requests.saturating_sub(other.requests);
     }
 }
 
-/// An endpoint with what this instance has seen of it.
+/// An endpoint with the observations of this instance.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// From when on it may be asked whether it leaves.
-    pub(crate) ask_from: Time,
+    /// When it may next be probed.
+    pub(crate) next_probe_at: Time,
     avoid_until: Time,
-    /// Digest of its id, by which reports name it.
+    /// Digest of its id, which identifies it in load reports.
     pub digest: u32,
-    /// Until when a lapsed entry may still come back; the endpoint stays usable until then.
-    pub doubt_until: Option<Time>,
+    /// End of the grace period after its entry was removed; the endpoint stays usable until then.
+    pub grace_until: Option<Time>,
     failures: u32,
-    /// Running share of answers that were failures, 0 to 1.
-    pub failing: f64,
-    /// Plain requests of this instance in progress there.
+    /// Moving average of the share of failed answers, from 0 to 1.
+    pub failure_rate: f64,
+    /// Requests of this instance in progress there, without runs.
     pub in_flight: u32,
     /// Its entry, as last read.
     pub listing: Listing,
-    /// Sends of the last second.
-    pub pace: Pace,
-    /// Since when it takes no new work.
+    /// Limits the requests per second that this instance sends there.
+    pub rate_limiter: RateLimiter,
+    /// When this instance learned that it is leaving.
     pub leaving_since: Option<Time>,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing but its entry is known.
+    /// An endpoint without observations.
     #[must_use]
     pub fn new(listing: Listing, now: Time) -> Self {
         Self {
-            ask_from: Time::default(),
+            next_probe_at: Time::default(),
             avoid_until: Time::default(),
             digest: digest(&listing.id),
-            doubt_until: None,
+            grace_until: None,
             failures: 0,
-            failing: 0.0,
+            failure_rate: 0.0,
             in_flight: 0,
             leaving_since: listing.leaving.then_some(now),
             listing,
-            pace: Pace::default(),
+            rate_limiter: RateLimiter::default(),
         }
     }
 
-    /// Takes a newer entry in; a new life under the same id starts with a clean record.
+    /// Applies an updated entry; a restart resets backoff and failure rate.
     pub fn update(&mut self, listing: Listing, now: Time) {
-        if listing.born != self.listing.born || listing.address != self.listing.address {
+        if listing.started_at != self.listing.started_at || listing.address != self.listing.address
+        {
             self.avoid_until = Time::default();
             self.failures = 0;
-            self.failing = 0.0;
+            self.failure_rate = 0.0;
         }
-        self.doubt_until = None;
+        self.grace_until = None;
         match (listing.leaving, self.leaving_since) {
             (true, None) => self.leaving_since = Some(now),
             (false, _) => self.leaving_since = None,
@@ -126,32 +128,33 @@
         self.listing = listing;
     }
 
-    /// Whether new work may go there.
+    /// Whether it may get new work.
     #[must_use]
     pub fn usable(&self, now: Time) -> bool {
         self.leaving_since.is_none() && now >= self.avoid_until
     }
 
-    /// It said that it leaves.
-    pub fn leaves(&mut self, now: Time) {
+    /// Records that it is leaving.
+    pub fn mark_leaving(&mut self, now: Time) {
         self.leaving_since.get_or_insert(now);
     }
 
-    /// It answered, well or with a failure of its own.
-    pub fn answered(&mut self, failed: bool) {
+    /// Records an answer, successful or failed.
+    pub fn record_answer(&mut self, failed: bool) {
         self.failures = 0;
-        self.failing += FAILURE_STEP * (f64::from(u8::from(failed)) - self.failing);
+        self.failure_rate +=
+            FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
     }
 
-    /// It said that it is full.
-    pub fn full(&mut self, now: Time) {
-        self.avoid_until = self.avoid_until.max(now.after(FULL_PAUSE));
+    /// Records that it rejected a request because it is full.
+    pub fn mark_full(&mut self, now: Time) {
+        self.avoid_until = self.avoid_until.max(now.after(FULL_BACKOFF));
     }
 
-    /// It could not be reached, fell silent, or is another one than expected.
-    pub fn unreachable(&mut self, now: Time) {
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
+    /// Records that it could not be connected to, timed out, or answered under another id.
+    pub fn mark_unreachable(&mut self, now: Time) {
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
-        self.avoid_until = self.avoid_until.max(now.after(pause.min(LONGEST_PAUSE)));
+        self.avoid_until = self.avoid_until.max(now.after(backoff.min(MAX_BACKOFF)));
     }
 }
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -1,97 +1,91 @@
-//! Which instance reads the store, and what the others take from it.
+//! Selection of the instance that reads the store, and relaying to the others.
 //!
-//! Where instances are few the reader tells all others. Where they are many it is one of
-//! the aggregators, which tell each other, and each its members.
-//!
-//! Each read of the store is a call that all instances together have few of, and most of
-//! them bring every instance the same records. So one instance reads each topic and
-//! passes records on; the others read for themselves only when its word is too old, or
-//! when they know that they miss records. Nobody is elected: each instance ranks itself
-//! among the fellows it hears, so that two views that differ cost a few calls too many
-//! and nothing else.
+//! The store limits the total call rate of all instances. For each topic one instance reads and
+//! relays the records: to all others where there are few instances, else as one of the aggregators
+//! to the other aggregators, which relay to their members. The others read only if the reader's
+//! watermark is too old or if they lack records. There is no election: each instance ranks itself
+//! among the peers it receives reports from. Where these views differ, the only harm is a few extra
+//! calls.
 
 use crate::{aggregate::members::Role, freshness::Freshness, prelude::*};
 
-/// Topics that are followed.
+/// Number of topics in the store.
 pub const TOPICS: usize = 3;
 
-/// Time without a word after which a fellow is no longer counted on to read.
-const ALIVE: Duration = Duration::from_millis(1500);
+/// Time without a report after which a peer no longer counts as a reader.
+const PEER_TTL: Duration = Duration::from_millis(1500);
 
-/// Time that records may be on their way before they count as missed.
-const ON_THE_WAY: Duration = Duration::from_millis(120);
+/// Time that relayed records may take before they count as missing.
+const RELAY_DELAY: Duration = Duration::from_millis(120);
 
-/// The same where they come by way of aggregators, which send them again to a member that
-/// reports that it lacks them.
-const ON_THE_LONG_WAY: Duration = Duration::from_millis(500);
+/// The same for records that are relayed by aggregators, which also resend them to a member that
+/// reports a lower position.
+const AGGREGATED_RELAY_DELAY: Duration = Duration::from_millis(500);
 
-/// What an instance says of its knowledge of one topic.
+/// How far an instance knows a topic, as it reports to peers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Word {
-    /// How old its knowledge was when it said so; `None` if it knows nothing.
+pub struct Watermark {
+    /// Age of its knowledge when it sent the report; `None` if it has none.
     pub age: Option<Duration>,
     /// Offset after the last record that it has.
     pub position: u64,
 }
 
-/// A time of one life of an instance, which its fellows echo.
+/// A timestamp of an instance that peers echo back, valid in one incarnation only.
 ///
-/// The clock of a machine that lost its power starts anew, while fellows go on echoing what
-/// they heard before. Taken for a time of the present life it may lie far ahead, and the
-/// instance, and all that hear from it, take their knowledge for new for ever: keys that
-/// were taken away and routes that were moved stay in use. So a time counts only within
-/// the life that gave it out.
+/// The clock of a machine restarts after a power loss, while peers still echo timestamps of the
+/// previous incarnation. These may be far in the future of the new clock, and knowledge confirmed
+/// by them would never expire: revoked keys and old routes would stay in use.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Mark {
-    /// Time on the instance's own clock.
+pub struct EchoTimestamp {
+    /// Time by the clock of the instance.
     pub at: Time,
-    /// Drawn at the start of the process; zero is no life.
-    pub life: u64,
+    /// Random number drawn at the start of the process; zero is never valid.
+    pub incarnation: u64,
 }
 
-impl Word {
-    /// Since when this instance's knowledge is proved by the word, if it has all the records
-    /// that its sender had: the sender said so after it had heard of the time `echo`.
+impl Watermark {
+    /// Time for which the watermark confirms this instance's knowledge: the sender reported it
+    /// after it received `echo`, and this instance has all the records that the sender had.
     ///
-    /// When the word arrives proves nothing. It may have waited in a buffer through a
-    /// freeze, and a key that was taken away meanwhile would be used on.
+    /// The arrival time of the report is not used, since the report may have waited in a buffer
+    /// while the process was frozen.
     #[must_use]
-    pub fn proves(self, echo: Mark, life: u64, position: u64) -> Option<Time> {
+    pub fn confirms(self, echo: EchoTimestamp, incarnation: u64, position: u64) -> Option<Time> {
         let age = self.age?;
-        (echo.life == life && position >= self.position).then(|| echo.at.before(age))
+        (echo.incarnation == incarnation && position >= self.position).then(|| echo.at.before(age))
     }
 }
 
-/// Age of knowledge up to which a fellow's word is enough. The reader's own age swings up
-/// to 1 s and a word takes up to half a second, so it is hardly ever passed while the
-/// reader follows the store; and a change that only others can read yet is known here
-/// within the two seconds that it may take.
-pub const ENOUGH: Duration = Duration::from_millis(1700);
+/// Maximum age of a peer's watermark before an instance reads by itself. The reader's own age is at
+/// most about 1 s and a report takes up to 0.5 s, so it is rarely exceeded while the reader works.
+/// Changes that only other instances can read are still applied within the required 2 s.
+pub const MAX_WATERMARK_AGE: Duration = Duration::from_millis(1700);
 
-/// The same for the list of instances, whose age bounds nothing.
-pub const ENOUGH_INSTANCES: Duration = Duration::from_secs(30);
+/// The same for the list of instances, on which no deadline depends.
+pub const MAX_INSTANCE_LIST_AGE: Duration = Duration::from_secs(30);
 
-/// Time without a word after which an instance's entry is dropped. A partition lasts
-/// minutes as a rule; an hour costs two writes.
-const ENTRY_LIFE: Duration = Duration::from_mins(5);
+/// Time without a report after which the entry of an instance is removed. A partition usually lasts
+/// minutes; an instance whose entry was removed writes it again.
+const ENTRY_TTL: Duration = Duration::from_mins(5);
 
 /// Why an instance reads a topic itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// Fellows have records that did not arrive here.
+    /// Peers have records that did not arrive here.
     Missing,
-    /// What is known is older than a fellow's word may make it.
+    /// The knowledge is older than allowed.
     Old,
-    /// It is the one to read it.
+    /// It is the reader of the topic.
     Reader,
     /// Nothing is known yet.
     Start,
-    /// A request waits for it.
+    /// A request waits for a read.
     Wanted,
 }
 
 impl Cause {
-    /// Word for logs and metrics.
+    /// Name in logs and metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -104,182 +98,191 @@
     }
 }
 
-/// What an instance knows itself of a topic.
+/// What this instance knows of a topic.
 #[derive(Clone, Copy, Debug)]
-pub struct Own<'a> {
-    /// Age up to which a fellow's word is enough.
-    pub enough: Duration,
+pub struct LocalTopic<'a> {
+    /// Maximum age of a peer's watermark before this instance reads by itself.
+    pub max_age: Duration,
     /// Age of its knowledge.
     pub freshness: Freshness,
-    /// Its name.
+    /// Name of the instance.
     pub name: &'a str,
     /// Offset after the last record that it has.
     pub position: u64,
-    /// Its part in what instances tell each other.
+    /// Role of the instance.
     pub role: Role,
-    /// Number of the topic, below [`TOPICS`].
+    /// Index of the topic, below [`TOPICS`].
     pub topic: usize,
 }
 
-/// What one fellow said last.
+/// Last report of one peer.
 #[derive(Clone, Debug)]
-struct Heard {
-    /// When it last spoke as an aggregator.
-    aggregated: Option<Time>,
+struct PeerStatus {
+    /// When it last reported as an aggregator.
+    aggregated_at: Option<Time>,
     at: Time,
     name: String,
-    words: [Word; TOPICS],
+    watermarks: [Watermark; TOPICS],
 }
 
-impl Heard {
-    fn aggregates(&self, now: Time) -> bool {
-        self.aggregated.is_some_and(|at| now.since(at) <= ALIVE)
+impl PeerStatus {
+    fn is_aggregator(&self, now: Time) -> bool {
+        self.aggregated_at
+            .is_some_and(|at| now.since(at) <= PEER_TTL)
     }
 }
 
-/// What all fellows said last.
+/// Last reports of all peers.
 #[derive(Debug, Default)]
 pub struct Readers {
-    heard: Vec<Heard>,
-    /// Since when a fellow has been known to be further, for each topic.
+    peers: Vec<PeerStatus>,
+    /// Since when a peer has been ahead, for each topic.
     behind_since: [Option<Time>; TOPICS],
 }
 
 impl Readers {
-    /// Takes a fellow's words in.
-    pub fn hear(&mut self, name: &str, at: Time, aggregates: bool, words: [Word; TOPICS]) {
-        let mut heard = Heard {
-            aggregated: aggregates.then_some(at),
+    /// Applies a report of a peer.
+    pub fn update(
+        &mut self,
+        name: &str,
+        at: Time,
+        is_aggregator: bool,
+        watermarks: [Watermark; TOPICS],
+    ) {
+        let mut peer = PeerStatus {
+            aggregated_at: is_aggregator.then_some(at),
             at,
             name: name.to_string(),
-            words,
+            watermarks,
         };
         match self
-            .heard
+            .peers
             .binary_search_by(|other| other.name.as_str().cmp(name))
         {
-            Ok(place) => {
-                // An aggregator also reports to the other one of its domain.
-                heard.aggregated = heard.aggregated.or(self.heard[place].aggregated);
-                self.heard[place] = heard;
+            Ok(index) => {
+                // An aggregator also sends reports as a member to the other aggregator of its
+                // domain.
+                peer.aggregated_at = peer.aggregated_at.or(self.peers[index].aggregated_at);
+                self.peers[index] = peer;
             }
-            Err(place) => self.heard.insert(place, heard),
+            Err(index) => self.peers.insert(index, peer),
         }
     }
 
-    /// Why this instance has to read a topic itself, if it has to.
+    /// Why this instance has to read a topic itself; `None` if it does not.
     ///
-    /// Knowledge of the configuration and of endpoints that leave has to be acted on
-    /// within two seconds by every instance that reaches the store, also when the reader
-    /// does not reach it; callers of a route that was moved would be served by the old
-    /// service otherwise.
-    pub fn must_read(&mut self, own: Own<'_>, now: Time) -> Option<Cause> {
-        if self.reads(own, now) {
+    /// Every instance that reaches the store has to apply configuration changes and leaving
+    /// endpoints within 2 s, even if the reader does not reach the store; otherwise callers would
+    /// be served by the old configuration.
+    pub fn must_read(&mut self, own: LocalTopic<'_>, now: Time) -> Option<Cause> {
+        if self.is_reader(own, now) {
             return Some(Cause::Reader);
         }
-        if !own.freshness.within(now, own.enough) {
+        if !own.freshness.within(now, own.max_age) {
             return Some(Cause::Old);
         }
-        let on_the_way = match own.role {
-            Role::Equal => ON_THE_WAY,
-            Role::Aggregator | Role::Member => ON_THE_LONG_WAY,
+        let max_delay = match own.role {
+            Role::Equal => RELAY_DELAY,
+            Role::Aggregator | Role::Member => AGGREGATED_RELAY_DELAY,
         };
-        self.misses(own.topic, own.position, now, on_the_way)
+        self.is_missing_records(own.topic, own.position, now, max_delay)
             .then_some(Cause::Missing)
     }
 
-    /// Whether the instance is the one to read a topic: the first by rank among those who
-    /// were heard of late and follow the store; where there are many, among the aggregators
-    /// of all failure domains.
+    /// Whether this instance is the reader: the first by rank among the active instances whose
+    /// knowledge is recent. Where there are many instances only aggregators, of all failure
+    /// domains, are candidates.
     ///
-    /// While nobody follows the store, the first of all reads, and the others ask rarely; calls
-    /// of an absent store count, and those of one instance tell as much as those of all.
+    /// While nobody reaches the store, the first by rank of all candidates keeps trying and the
+    /// others rarely do, since failed calls count against the rate limit too.
     #[must_use]
-    pub fn reads(&self, own: Own<'_>, now: Time) -> bool {
+    pub fn is_reader(&self, own: LocalTopic<'_>, now: Time) -> bool {
         if own.role == Role::Member {
             return false;
         }
-        let rivals = self.heard.iter().filter(|heard| {
-            now.since(heard.at) <= ALIVE && (own.role == Role::Equal || heard.aggregates(now))
+        let candidates = self.peers.iter().filter(|peer| {
+            now.since(peer.at) <= PEER_TTL && (own.role == Role::Equal || peer.is_aggregator(now))
         });
-        let follows = |heard: &&Heard| {
-            heard.words[own.topic]
+        let is_current = |peer: &&PeerStatus| {
+            peer.watermarks[own.topic]
                 .age
-                .is_some_and(|age| age <= own.enough)
+                .is_some_and(|age| age <= own.max_age)
         };
-        let rank_of = |heard: &Heard| rank(&heard.name, own.topic);
-        let first = rivals.clone().filter(follows).map(rank_of).min();
+        let rank_of = |peer: &PeerStatus| rank(&peer.name, own.topic);
+        let first_rank = candidates.clone().filter(is_current).map(rank_of).min();
         let own_rank = rank(own.name, own.topic);
-        match first {
-            // A fellow that has lost the store itself is no help, nor is this instance.
-            Some(first) => own_rank < first && own.freshness.within(now, own.enough),
-            None => rivals.map(rank_of).all(|other| own_rank < other),
+        match first_rank {
+            // A peer or this instance is no reader if it does not reach the store.
+            Some(first_rank) => own_rank < first_rank && own.freshness.within(now, own.max_age),
+            None => candidates.map(rank_of).all(|other| own_rank < other),
         }
     }
 
-    /// Whether records that a read for `cause` has brought are passed on to fellows.
+    /// Whether records that were read for `cause` are relayed to peers.
     ///
-    /// The reader passes on what it reads, and so does whoever found that its knowledge had
-    /// grown old: the store has turned the reader away then, and perhaps others, who get
-    /// them in no other way. One would notice a route that was moved, or a key that was
-    /// taken away, still in use there three seconds later.
+    /// The reader relays what it reads. So does an instance whose knowledge was too old: the store
+    /// is then unreachable for the reader and perhaps for others, which would keep using outdated
+    /// routes and revoked keys.
     #[must_use]
-    pub fn passes_on(&self, cause: Cause, own: Own<'_>, now: Time) -> bool {
-        cause == Cause::Old || self.reads(own, now)
+    pub fn should_relay(&self, cause: Cause, own: LocalTopic<'_>, now: Time) -> bool {
+        cause == Cause::Old || self.is_reader(own, now)
     }
 
-    /// Whether the entry of a fellow that has been listed since `listed` is to be dropped:
-    /// its holder has not been heard of for long.
+    /// Whether the entry of a peer, listed since `listed`, is to be removed because nothing was
+    /// received from the peer for `ENTRY_TTL`.
     ///
-    /// Instances are replaced under new names all the time. Their entries would pile up
-    /// without end, each with a connection that is tried again and a part of every joint
-    /// limit; one would notice limits that shrink day by day. A holder that lives behind a
-    /// partition finds its entry gone and writes it again.
+    /// Replaced instances get new names. Without removal their entries would accumulate, and each
+    /// costs connection attempts and a share of every shared limit.
     #[must_use]
     pub fn is_dead(&self, name: &str, listed: Time, now: Time) -> bool {
-        let place = self
-            .heard
+        let index = self
+            .peers
             .binary_search_by(|other| other.name.as_str().cmp(name));
-        let heard = place.map_or(listed, |place| self.heard[place].at.max(listed));
-        now.since(heard) > ENTRY_LIFE
+        let last_seen = index.map_or(listed, |index| self.peers[index].at.max(listed));
+        now.since(last_seen) > ENTRY_TTL
     }
 
-    /// Forgets a fellow whose entry is gone.
+    /// Forgets a peer whose entry was removed.
     pub fn forget(&mut self, name: &str) {
-        self.heard.retain(|heard| heard.name != name);
+        self.peers.retain(|peer| peer.name != name);
     }
 
-    /// Whether no fellow was heard of late.
+    /// Whether no peer has reported recently.
     #[must_use]
-    pub fn alone(&self, now: Time) -> bool {
-        !self.heard.iter().any(|heard| now.since(heard.at) <= ALIVE)
+    pub fn is_isolated(&self, now: Time) -> bool {
+        !self.peers.iter().any(|peer| now.since(peer.at) <= PEER_TTL)
     }
 
-    /// Whether an aggregator was heard of late.
+    /// Whether an aggregator has reported recently.
     #[must_use]
     pub fn has_aggregator(&self, now: Time) -> bool {
-        let mut heard = self.heard.iter();
-        heard.any(|heard| heard.aggregates(now))
+        let mut peers = self.peers.iter();
+        peers.any(|peer| peer.is_aggregator(now))
     }
 
-    /// Whether records at `position` and beyond are known to a fellow and have not arrived
-    /// here within the time that they may be on their way.
-    fn misses(&mut self, topic: usize, position: u64, now: Time, on_the_way: Duration) -> bool {
-        let further = self
-            .heard
+    /// Whether a peer has had records at `from` or later for longer than `max_delay`, and they
+    /// have not arrived here.
+    fn is_missing_records(
+        &mut self,
+        topic: usize,
+        from: u64,
+        now: Time,
+        max_delay: Duration,
+    ) -> bool {
+        let peer_is_ahead = self
+            .peers
             .iter()
-            .any(|heard| now.since(heard.at) <= ALIVE && heard.words[topic].position > position);
-        if !further {
+            .any(|peer| now.since(peer.at) <= PEER_TTL && peer.watermarks[topic].position > from);
+        if !peer_is_ahead {
             self.behind_since[topic] = None;
             return false;
         }
         let since = *self.behind_since[topic].get_or_insert(now);
-        now.since(since) >= on_the_way
+        now.since(since) >= max_delay
     }
 }
 
-/// Place of an instance in the order of readers; each topic has an order of its own, so
-/// that the work is spread.
+/// Rank of an instance as reader of a topic; it differs between topics to spread the work.
 fn rank(name: &str, topic: usize) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&[u8::try_from(topic).unwrap_or(u8::MAX)]);
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -1,13 +1,13 @@
-//! Everything an instance knows, and how that changes.
+//! State of an instance, and how it changes.
 //!
-//! What is decided on it stands in [`crate::admission`] and [`crate::choice`].
+//! Decisions on it are in [`crate::admission`] and [`crate::choice`].
 
 use {
     crate::{
         aggregate::{Sums, members::Members},
-        budget::Budget,
+        budget::RetryBudget,
         freshness::Freshness,
-        load::Fellows,
+        load::PeerLoads,
         prelude::*,
         request::Ticket,
     },
@@ -15,34 +15,34 @@
     slotmap::SlotMap,
 };
 
-/// A list read after this long without proof means that the store had been away.
-const STORE_AWAY: Duration = Duration::from_secs(3);
+/// Age of the endpoint list at which the store counts as having been unreachable.
+const STORE_OUTAGE_THRESHOLD: Duration = Duration::from_secs(3);
 
-/// Time in which entries that lapsed while the store was away come back.
-const RETURN_TIME: Duration = Duration::from_secs(2);
+/// Time that endpoints get to register again after the store was unreachable.
+const REREGISTRATION_GRACE: Duration = Duration::from_secs(2);
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The entry of an id is gone.
-    Gone(String),
-    /// An entry is new or has changed.
+    /// The entry with this id was removed.
+    Removed(String),
+    /// An entry was added or updated.
     Set(Listing),
 }
 
-/// Everything an instance knows.
+/// What an instance knows.
 #[derive(Debug)]
 pub struct State {
-    /// Budget for second sends.
-    pub budget: Budget,
+    /// Budget for retries.
+    pub budget: RetryBudget,
     pub(crate) config: Option<Config>,
     /// Age of the configuration.
     pub config_freshness: Freshness,
-    domains_out: Vec<String>,
+    disabled_domains: Vec<String>,
     pub(crate) endpoints: SlotMap<EndpointKey, Endpoint>,
-    /// Load of other instances, by their own reports.
-    pub fellows: Fellows,
-    /// Instances that joint limits are divided by.
+    /// Load of other instances, from their own reports.
+    pub peer_loads: PeerLoads,
+    /// Number of instances that shared limits are divided by.
     pub(crate) instances: u32,
     /// Age of the endpoint list.
     pub list_freshness: Freshness,
@@ -51,67 +51,67 @@
     pub(crate) random: SmallRng,
     pub(crate) runs: SlotMap<RunKey, Run>,
     pub(crate) settings: Settings,
-    pub(crate) stops: Option<Time>,
-    store_back: Option<Time>,
-    /// Load of other instances, by sums.
+    pub(crate) stops_at: Option<Time>,
+    store_recovered_at: Option<Time>,
+    /// Load of other instances, from sums of aggregators.
     pub sums: Sums,
-    waiting: Vec<Place>,
-    next_waiter: u64,
+    waiting: Vec<QueuePosition>,
+    next_turn: u64,
 }
 
-/// Place in the queue of a service: the rank of a request, then its turn.
+/// Position in the queue of a service, ordered by priority, then by arrival.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct QueuePosition {
     priority: u8,
     service: String,
     turn: u64,
 }
 
 impl State {
-    /// An instance that knows nothing yet.
+    /// An instance without any knowledge yet.
     #[must_use]
     pub fn new(settings: Settings, random: SmallRng) -> Self {
         Self {
-            budget: Budget::new(&settings),
+            budget: RetryBudget::new(&settings),
             config: None,
             config_freshness: Freshness::default(),
-            domains_out: Vec::new(),
+            disabled_domains: Vec::new(),
             endpoints: SlotMap::with_key(),
-            fellows: Fellows::default(),
-            instances: settings.most_instances.max(1),
+            peer_loads: PeerLoads::default(),
+            instances: settings.max_instances.max(1),
             list_freshness: Freshness::default(),
             members: Members::default(),
-            next_waiter: 0,
+            next_turn: 0,
             random,
             runs: SlotMap::with_key(),
             settings,
-            stops: None,
-            store_back: None,
+            stops_at: None,
+            store_recovered_at: None,
             sums: Sums::default(),
             waiting: Vec::new(),
         }
     }
 
-    /// Takes changed settings in.
-    pub fn adjust(&mut self, settings: Settings) {
-        self.budget.adjust(&settings);
-        self.instances = self.instances.max(settings.most_instances);
+    /// Applies changed settings.
+    pub fn update_settings(&mut self, settings: Settings) {
+        self.budget.update_settings(&settings);
+        self.instances = self.instances.max(settings.max_instances);
         self.settings = settings;
     }
 
-    /// So many instances have published themselves.
+    /// Updates the number of registered instances.
     ///
-    /// Joint limits are divided by a quarter more, for those that have not been heard of
-    /// yet, and never by less than the settings say. Entries of instances that are gone
-    /// stay for minutes, which errs on the safe side.
+    /// Shared limits are divided by 25 % more, to allow for instances that are not visible yet, and
+    /// never by less than the configured maximum. Entries of stopped instances remain for minutes,
+    /// which only makes the shares smaller.
     pub fn count_instances(&mut self, published: usize) {
         let published = u32::try_from(published).unwrap_or(u32::MAX);
         let instances = published.saturating_add(published.div_ceil(4));
-        self.instances = instances.max(self.settings.most_instances.max(1));
-        self.budget.divide_by(self.instances);
+        self.instances = instances.max(self.settings.max_instances.max(1));
+        self.budget.set_instances(self.instances);
     }
 
-    /// Takes a configuration in unless it is older than the one in force.
+    /// Replaces the configuration if the new one has a higher version; returns whether it did.
     pub fn configure(&mut self, config: Config) -> bool {
         if self
             .config
@@ -124,47 +124,47 @@
         true
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     #[must_use]
     pub const fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
 
-    /// Takes a failure domain out, or back in. Returns whether that changed anything.
-    pub fn set_domain(&mut self, domain: &str, out: bool) -> bool {
-        let place = self
-            .domains_out
+    /// Disables or enables a failure domain; returns whether that changed anything.
+    pub fn set_domain(&mut self, domain: &str, disabled: bool) -> bool {
+        let index = self
+            .disabled_domains
             .binary_search_by(|other| other.as_str().cmp(domain));
-        match (place, out) {
-            (Err(place), true) => self.domains_out.insert(place, domain.to_string()),
-            (Ok(place), false) => {
-                self.domains_out.remove(place);
+        match (index, disabled) {
+            (Err(index), true) => self.disabled_domains.insert(index, domain.to_string()),
+            (Ok(index), false) => {
+                self.disabled_domains.remove(index);
             }
             (Ok(_), true) | (Err(_), false) => return false,
         }
         true
     }
 
-    /// Failure domains that are taken out, sorted.
+    /// Disabled failure domains, sorted.
     #[must_use]
-    pub fn domains_out(&self) -> &[String] {
-        &self.domains_out
+    pub fn disabled_domains(&self) -> &[String] {
+        &self.disabled_domains
     }
 
-    /// The list was complete when its question was sent at `asked`.
-    pub fn prove_list(&mut self, now: Time, asked: Time) {
-        // The first proof of all is a start, not a return: what vanishes then has left.
+    /// Records that the endpoint list was complete at `asked`, when the store was queried.
+    pub fn confirm_list(&mut self, now: Time, asked: Time) {
+        // The first read after a start is not a recovery: an entry that is removed then has left.
         let age = self.list_freshness.age(now);
-        if age.is_some_and(|age| age > STORE_AWAY) {
-            self.store_back = Some(now);
+        if age.is_some_and(|age| age > STORE_OUTAGE_THRESHOLD) {
+            self.store_recovered_at = Some(now);
         }
-        self.list_freshness.prove(asked);
+        self.list_freshness.confirm(asked);
     }
 
-    /// Takes a change of the list in.
+    /// Applies a change of the endpoint list.
     pub fn change(&mut self, now: Time, change: Change) {
         match change {
-            Change::Gone(id) => self.gone(now, &id),
+            Change::Removed(id) => self.remove_listing(now, &id),
             Change::Set(listing) => match self.find(&listing.id) {
                 Some(key) => self.endpoints[key].update(listing, now),
                 None => {
@@ -174,44 +174,44 @@
         }
     }
 
-    /// An entry is gone: at once, or with a delay if the store was away, since entries
-    /// lapse meanwhile though their endpoints live.
-    fn gone(&mut self, now: Time, id: &str) {
-        let away = !self.list_freshness.within(now, STORE_AWAY);
-        let back = self
-            .store_back
-            .filter(|back| now.since(*back) < RETURN_TIME);
+    /// Handles a removed entry. If the store was unreachable the removal is delayed, since entries
+    /// of live endpoints expire in such an outage.
+    fn remove_listing(&mut self, now: Time, id: &str) {
+        let store_unreachable = !self.list_freshness.within(now, STORE_OUTAGE_THRESHOLD);
+        let recovered_at = self
+            .store_recovered_at
+            .filter(|recovered_at| now.since(*recovered_at) < REREGISTRATION_GRACE);
         let Some(key) = self.find(id) else {
             return;
         };
         let endpoint = &mut self.endpoints[key];
         if endpoint.leaving_since.is_none() {
-            if away {
-                endpoint.doubt_until = Some(now.after(RETURN_TIME));
+            if store_unreachable {
+                endpoint.grace_until = Some(now.after(REREGISTRATION_GRACE));
                 return;
             }
-            if let Some(back) = back {
-                endpoint.doubt_until = Some(back.after(RETURN_TIME));
+            if let Some(recovered_at) = recovered_at {
+                endpoint.grace_until = Some(recovered_at.after(REREGISTRATION_GRACE));
                 return;
             }
         }
         endpoint.leaving_since.get_or_insert(now);
     }
 
-    /// Names of all endpoints that the list still shows.
+    /// Ids of all known endpoints.
     #[must_use]
     pub fn listed(&self) -> Vec<String> {
         let listed = self.endpoints.values();
         listed.map(|endpoint| endpoint.listing.id.clone()).collect()
     }
 
-    /// Settles doubts that have lasted long enough, and forgets endpoints that left and the
-    /// load of silent fellows.
+    /// Applies delayed removals, drops endpoints that have left, and expires the load of silent
+    /// peers.
     pub fn tick(&mut self, now: Time) {
-        self.fellows.expire(now);
+        self.peer_loads.expire(now);
         for endpoint in self.endpoints.values_mut() {
-            if endpoint.doubt_until.is_some_and(|until| now >= until) {
-                endpoint.doubt_until = None;
+            if endpoint.grace_until.is_some_and(|until| now >= until) {
+                endpoint.grace_until = None;
                 endpoint.leaving_since.get_or_insert(now);
             }
         }
@@ -225,53 +225,53 @@
         self.endpoints.retain(|key, endpoint| {
             let left = endpoint
                 .leaving_since
-                .is_some_and(|since| now.since(since) > FORGET);
+                .is_some_and(|since| now.since(since) > LEFT_ENDPOINT_RETENTION);
             !left || endpoint.in_flight > 0 || used(key, runs)
         });
     }
 
-    /// Takes a place in the queue of a service.
-    pub fn enqueue(&mut self, ticket: &Ticket) -> Place {
-        self.next_waiter += 1;
-        let place = Place {
+    /// Adds a request to the queue of its service.
+    pub fn enqueue(&mut self, ticket: &Ticket) -> QueuePosition {
+        self.next_turn += 1;
+        let position = QueuePosition {
             priority: ticket.priority,
             service: ticket.service.clone(),
-            turn: self.next_waiter,
+            turn: self.next_turn,
         };
-        self.waiting.push(place.clone());
-        place
+        self.waiting.push(position.clone());
+        position
     }
 
-    /// Leaves the queue.
-    pub fn dequeue(&mut self, place: &Place) {
-        self.waiting.retain(|other| other != place);
+    /// Removes a request from the queue.
+    pub fn dequeue(&mut self, position: &QueuePosition) {
+        self.waiting.retain(|other| other != position);
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub const fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether another request of the service comes first.
+    /// Whether another queued request of the service comes first.
     #[must_use]
-    pub fn passed_over(&self, place: &Place) -> bool {
+    pub fn is_preceded(&self, position: &QueuePosition) -> bool {
         self.waiting.iter().any(|other| {
-            other.service == place.service
-                && (other.priority, other.turn) < (place.priority, place.turn)
+            other.service == position.service
+                && (other.priority, other.turn) < (position.priority, position.turn)
         })
     }
 
-    /// Whether the failure domain is taken out.
+    /// Whether the failure domain is disabled.
     #[must_use]
-    pub fn is_out(&self, domain: &str) -> bool {
+    pub fn is_disabled(&self, domain: &str) -> bool {
         let found = self
-            .domains_out
+            .disabled_domains
             .binary_search_by(|other| other.as_str().cmp(domain));
         found.is_ok()
     }
 
-    /// A service of the configuration in force.
+    /// A service of the current configuration.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.config.as_ref()?.service(name)
@@ -283,7 +283,7 @@
         self.endpoints.get(key)
     }
 
-    /// An endpoint, to note what was seen of it.
+    /// An endpoint, to record observations.
     pub fn endpoint_mut(&mut self, key: EndpointKey) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(key)
     }
@@ -293,7 +293,7 @@
         self.endpoints.iter()
     }
 
-    /// Notes a generation.
+    /// Adds a run.
     pub fn begin(&mut self, run: Run) -> RunKey {
         self.runs.insert(run)
     }
@@ -309,12 +309,12 @@
         self.runs.get(key)
     }
 
-    /// A generation has ended.
+    /// Removes a run that has ended.
     pub fn end(&mut self, key: RunKey) {
         self.runs.remove(key);
     }
 
-    /// Whether the engine of a generation is leaving, so that it has to go on elsewhere.
+    /// Whether the engine of a run is leaving, so that the run has to move.
     #[must_use]
     pub fn must_move(&self, run: RunKey) -> bool {
         let run = self.runs.get(run);
@@ -322,27 +322,26 @@
         endpoint.is_some_and(|endpoint| endpoint.leaving_since.is_some())
     }
 
-    /// Whether a generation may go on at an engine that holds its copy.
+    /// Whether a run may continue at the engine that holds its copy.
     ///
-    /// An engine that is leaving still works for a while, and may be all that is left of
-    /// the run; a failure domain that was taken out gets nothing more.
+    /// An engine that has just started to leave still qualifies, since it may hold the only copy.
+    /// An engine of a disabled failure domain does not.
     #[must_use]
-    pub fn may_go_on_at(&self, now: Time, key: EndpointKey) -> bool {
+    pub fn may_continue_at(&self, now: Time, key: EndpointKey) -> bool {
         self.endpoints.get(key).is_some_and(|endpoint| {
             let left = endpoint
                 .leaving_since
-                .is_some_and(|since| now.since(since) > LEAVING_WORKS);
-            !left && !self.is_out(&endpoint.listing.domain)
+                .is_some_and(|since| now.since(since) > LEAVING_GRACE);
+            !left && !self.is_disabled(&endpoint.listing.domain)
         })
     }
 
-    /// The engine that holds a generation's copy, if the generation should go on there
-    /// though its own engine still works.
+    /// The engine that holds the copy of a run, if it takes new work.
     #[must_use]
-    pub fn sound_backup(&self, now: Time, run: RunKey) -> Option<EndpointKey> {
+    pub fn healthy_backup(&self, now: Time, run: RunKey) -> Option<EndpointKey> {
         let backup = self.runs.get(run)?.backup?;
         let endpoint = self.endpoints.get(backup)?;
-        (endpoint.usable(now) && self.may_go_on_at(now, backup)).then_some(backup)
+        (endpoint.usable(now) && self.may_continue_at(now, backup)).then_some(backup)
     }
 
     fn find(&self, id: &str) -> Option<EndpointKey> {
@@ -352,9 +351,9 @@
     }
 }
 
-/// How long after its leaving became known an engine may still be sent to. The bound
-/// of two seconds counts from the leaving itself, which was known up to a second later.
-const LEAVING_WORKS: Duration = Duration::from_millis(900);
+/// How long an engine may still be used after this instance learned that it is leaving. Engines
+/// must get no work 2 s after they start to leave, which may be known up to 1 s late.
+const LEAVING_GRACE: Duration = Duration::from_millis(900);
 
-/// How long an endpoint that left is remembered.
-const FORGET: Duration = Duration::from_secs(30);
+/// How long an endpoint that has left is remembered.
+const LEFT_ENDPOINT_RETENTION: Duration = Duration::from_secs(30);
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -1,4 +1,4 @@
-//! Load told by sums: five failure domains of sixty instances in simulated time.
+//! Aggregation of load over five failure domains of sixty instances in simulated time.
 
 mod common;
 
@@ -7,50 +7,50 @@
     forward::{
         aggregate::{
             Sums, add_rows,
-            domains::Part,
+            domains::SumPart,
             members::{Members, Rank, Role},
             table::Changes,
             view::Answer,
         },
-        load::{Fellows, Report},
+        load::{PeerLoads, Report},
     },
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
 };
 
-/// Milliseconds of a step; every message takes one.
-const STEP: u64 = 20;
+/// Duration of a step, which is also the delay of every message.
+const STEP_MS: u64 = 20;
 
 /// Steps between two reports of a member.
-const REPORT_STEPS: u64 = 10;
+const REPORT_INTERVAL_STEPS: u64 = 10;
 
 /// Steps between two sums of an aggregator.
-const SUM_STEPS: u64 = 3;
+const SUM_INTERVAL_STEPS: u64 = 3;
 
-/// Rank of an instance of whom only the order matters.
-const FIRST: Rank = (std::cmp::Reverse(500), 0);
+/// Rank where only the order of ranks matters.
+const ANY_RANK: Rank = (std::cmp::Reverse(500), 0);
 
-/// Steps between two checks of sums, each of one instance in so many.
-const CHECK_STEPS: u64 = 5;
-const SAMPLE: usize = 7;
+/// Steps between two checks, each of one instance in [`SAMPLE_EVERY`].
+const CHECK_INTERVAL_STEPS: u64 = 5;
+const SAMPLE_EVERY: usize = 7;
 
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const ENDPOINTS: u32 = 128;
 
-/// Bound on the time for which a sum may lack or keep what is no longer so.
+/// Maximum time until a sum reflects a change.
 const STALE_MS: u64 = 4000;
 
-/// What one instance knows and does.
+/// State of one instance.
 struct Node {
     domain: usize,
-    fellows: Fellows,
-    /// Neither hears nor says anything.
+    peer_loads: PeerLoads,
+    /// Whether it neither receives nor sends messages.
     frozen: bool,
-    heard: u64,
-    life: u64,
+    received: u64,
+    incarnation: u64,
     members: Members,
     name: String,
     own: Report,
-    said: u64,
+    sent: u64,
     sums: Sums,
 }
 
@@ -58,68 +58,68 @@
 enum Message {
     Answer(Answer),
     Report(u64, Report, Option<(u64, u64)>),
-    Sum(Part),
+    Sum(SumPart),
 }
 
-/// Three hundred instances, and what is on its way between them.
+/// All instances, and the messages between them.
 struct Fleet {
-    /// From one domain to another nothing passes.
-    cut: Vec<(usize, usize)>,
+    /// Pairs of domains without connection from the first to the second.
+    partitions: Vec<(usize, usize)>,
     nodes: Vec<Node>,
     now: u64,
-    on_the_way: Vec<(usize, usize, Message)>,
+    in_flight: Vec<(usize, usize, Message)>,
     random: SmallRng,
 }
 
 impl Fleet {
     fn new(per_domain: usize, seed: u64) -> Self {
         let count = DOMAINS.len() * per_domain;
-        let name = |place: usize| format!("e{place:03}");
+        let name = |index: usize| format!("e{index:03}");
         let mut members = Members::default();
         for other in 0..count {
-            // Three of each domain are stronger than the others.
+            // Three instances of each domain rank higher than the others.
             let processor = if other < 3 * DOMAINS.len() { 500 } else { 120 };
             members.set(&name(other), DOMAINS[other % DOMAINS.len()], processor);
         }
-        let nodes = (0..count).map(|place| Node {
-            domain: place % DOMAINS.len(),
-            fellows: Fellows::default(),
+        let nodes = (0..count).map(|index| Node {
+            domain: index % DOMAINS.len(),
+            peer_loads: PeerLoads::default(),
             frozen: false,
-            heard: 0,
-            life: 1,
+            received: 0,
+            incarnation: 1,
             members: members.clone(),
-            name: name(place),
+            name: name(index),
             own: Vec::new(),
-            said: 0,
+            sent: 0,
             sums: Sums::default(),
         });
         let mut fleet = Self {
-            cut: Vec::new(),
+            partitions: Vec::new(),
             nodes: nodes.collect(),
             now: 1000,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             random: SmallRng::seed_from_u64(seed),
         };
-        for place in 0..count {
-            fleet.load(place);
+        for index in 0..count {
+            fleet.load(index);
         }
         fleet
     }
 
-    /// Gives an instance another load of its own.
-    fn load(&mut self, place: usize) {
+    /// Replaces the load of an instance.
+    fn load(&mut self, index: usize) {
         let mut own = Vec::new();
         for _ in 0..3 {
             let digest = self.random.random_range(0..ENDPOINTS) * 1000;
             let load = Load {
                 copies: 0,
-                reading: 0,
+                prefill_tokens: 0,
                 requests: 1,
                 tokens: 3000,
             };
             add_rows(&mut own, &vec![(digest, load)]);
         }
-        self.nodes[place].own = own;
+        self.nodes[index].own = own;
     }
 
     fn run(&mut self, millis: u64, mut check: impl FnMut(&Self)) {
@@ -131,166 +131,171 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        for (from, to, message) in std::mem::take(&mut self.on_the_way) {
+        self.now += STEP_MS;
+        for (from, to, message) in std::mem::take(&mut self.in_flight) {
             let (from_domain, to_domain) = (self.nodes[from].domain, self.nodes[to].domain);
-            if !self.cut.contains(&(from_domain, to_domain)) && !self.nodes[to].frozen {
-                self.nodes[to].heard += 1;
-                self.hear(from, to, message);
+            if !self.partitions.contains(&(from_domain, to_domain)) && !self.nodes[to].frozen {
+                self.nodes[to].received += 1;
+                self.handle(from, to, message);
             }
         }
-        for place in 0..self.nodes.len() {
-            let turn = self.now / STEP + place as u64;
-            if self.nodes[place].frozen {
+        for index in 0..self.nodes.len() {
+            let tick = self.now / STEP_MS + index as u64;
+            if self.nodes[index].frozen {
                 continue;
             }
-            let role = self.settle(place);
+            let role = self.update_role(index);
             match role {
-                Role::Aggregator if turn.is_multiple_of(SUM_STEPS) => self.sum(place),
-                Role::Member if turn.is_multiple_of(REPORT_STEPS) => self.report(place),
+                Role::Aggregator if tick.is_multiple_of(SUM_INTERVAL_STEPS) => self.sum(index),
+                Role::Member if tick.is_multiple_of(REPORT_INTERVAL_STEPS) => self.report(index),
                 Role::Aggregator | Role::Equal | Role::Member => {}
             }
         }
     }
 
-    fn settle(&mut self, place: usize) -> Role {
+    fn update_role(&mut self, index: usize) -> Role {
         let now = at(self.now);
-        let node = &mut self.nodes[place];
-        let _silent = node.members.settle(now);
+        let node = &mut self.nodes[index];
+        let _silent = node.members.skip_unresponsive(now);
         let role = node.members.role(&node.name);
-        node.sums.settle(now, role != Role::Member);
+        node.sums.select_source(now, role != Role::Member);
         role
     }
 
-    fn report(&mut self, place: usize) {
+    fn report(&mut self, index: usize) {
         let (now, micros) = (at(self.now), self.now * 1000);
-        let node = &mut self.nodes[place];
-        node.sums.views.reported(micros, node.own.clone());
+        let node = &mut self.nodes[index];
+        node.sums.views.record_report(micros, node.own.clone());
         let links = node.members.links(&node.name, now);
-        for link in links.into_iter().filter(|link| link.near) {
+        for link in links.into_iter().filter(|link| link.same_domain) {
             let name = node.members.name(link.key).to_string();
-            node.members.asked(link.key, now, true);
+            node.members.expect_answer(link.key, now, true);
             let preferred = node.sums.views.preferred(now);
             let wanted = preferred.is_none_or(|preferred| preferred == name);
-            let holds = wanted.then(|| node.sums.views.version(&name));
-            let message = Message::Report(micros, node.own.clone(), holds);
-            node.said += 1;
-            self.on_the_way.push((place, number(&name), message));
+            let known_version = wanted.then(|| node.sums.views.version(&name));
+            let message = Message::Report(micros, node.own.clone(), known_version);
+            node.sent += 1;
+            self.in_flight.push((index, number(&name), message));
         }
     }
 
-    fn sum(&mut self, place: usize) {
-        self.report(place);
+    fn sum(&mut self, index: usize) {
+        self.report(index);
         let now = at(self.now);
-        let node = &mut self.nodes[place];
-        node.fellows.expire(now);
-        node.sums.publish(now, &node.fellows, node.own.clone());
-        let mut rows = node.fellows.sums().clone();
+        let node = &mut self.nodes[index];
+        node.peer_loads.expire(now);
+        node.sums.publish(now, &node.peer_loads, node.own.clone());
+        let mut rows = node.peer_loads.sums().clone();
         add_rows(&mut rows, &node.own);
-        let part = Part {
+        let part = SumPart {
             covers: Some((0, u32::MAX)),
-            life: node.life,
-            members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
+            incarnation: node.incarnation,
+            members: u32::try_from(node.peer_loads.count(now) + 1).expect("few"),
             number: self.now * 1000,
             rows,
         };
         let mut names = node.sums.domains.senders();
         let links = node.members.links(&node.name, now);
-        for link in links.into_iter().filter(|link| !link.near) {
-            node.members.asked(link.key, now, true);
+        for link in links.into_iter().filter(|link| !link.same_domain) {
+            node.members.expect_answer(link.key, now, true);
             names.push(node.members.name(link.key).to_string());
         }
         names.sort();
         names.dedup();
         for name in names {
-            node.said += 1;
+            node.sent += 1;
             let message = Message::Sum(part.clone());
-            self.on_the_way.push((place, number(&name), message));
+            self.in_flight.push((index, number(&name), message));
         }
     }
 
-    fn hear(&mut self, from: usize, to: usize, message: Message) {
+    fn handle(&mut self, from: usize, to: usize, message: Message) {
         let now = at(self.now);
         let (sender, domain) = (self.nodes[from].name.clone(), self.nodes[from].domain);
         let node = &mut self.nodes[to];
         match message {
-            Message::Report(micros, rows, holds) => {
+            Message::Report(micros, rows, known_version) => {
                 node.sums
-                    .report(now, &mut node.fellows, &sender, micros, rows);
-                let changes = holds.map(|(life, version)| {
-                    let since = if life == node.life { version } else { 0 };
+                    .report(now, &mut node.peer_loads, &sender, micros, rows);
+                let changes = known_version.map(|(incarnation, version)| {
+                    let since = if incarnation == node.incarnation {
+                        version
+                    } else {
+                        0
+                    };
                     node.sums.table.changes(since, 200)
                 });
                 let answer = Answer {
                     changes,
                     echo: micros,
-                    life: node.life,
-                    members: u32::try_from(node.fellows.count(now) + 1).expect("few"),
+                    incarnation: node.incarnation,
+                    members: u32::try_from(node.peer_loads.count(now) + 1).expect("few"),
                 };
-                node.said += 1;
-                self.on_the_way.push((to, from, Message::Answer(answer)));
+                node.sent += 1;
+                self.in_flight.push((to, from, Message::Answer(answer)));
             }
             Message::Answer(answer) => {
-                node.members.heard(&sender);
+                node.members.mark_responsive(&sender);
                 let rank = node.members.rank(&sender).expect("a member");
-                node.sums.views.hear(&sender, rank, answer);
+                node.sums.views.update(&sender, rank, answer);
             }
             Message::Sum(part) => {
-                node.members.heard(&sender);
+                node.members.mark_responsive(&sender);
                 let rank = node.members.rank(&sender).expect("a member");
                 let domain = DOMAINS[domain];
-                node.sums.domains.hear(now, domain, &sender, rank, &part);
+                node.sums.domains.update(now, domain, &sender, rank, &part);
             }
         }
     }
 
-    /// Requests at all endpoints together, of all instances but one.
-    fn truth(&self, but: usize) -> u32 {
+    /// Number of requests at all endpoints, without those of one instance.
+    fn actual(&self, but: usize) -> u32 {
         let others = self.nodes.iter().enumerate();
-        let others = others.filter(|(place, _)| *place != but);
+        let others = others.filter(|(index, _)| *index != but);
         others.map(|(_, node)| requests(&node.own)).sum()
     }
 
-    /// The same as an instance knows it.
-    fn known(&self, place: usize) -> u32 {
-        let node = &self.nodes[place];
+    /// The same number as known to an instance.
+    fn known(&self, index: usize) -> u32 {
+        let node = &self.nodes[index];
         let endpoints = (0..ENDPOINTS).map(|endpoint| endpoint * 1000);
-        let loads = endpoints.map(|digest| node.sums.others(&node.fellows, digest));
+        let loads = endpoints.map(|digest| node.sums.others(&node.peer_loads, digest));
         loads.map(|load| load.requests).sum()
     }
 
-    /// That no instance counts the load of any other twice.
-    fn nothing_counts_twice(&self) {
-        if !(self.now / STEP).is_multiple_of(CHECK_STEPS) {
+    /// Checks that no instance counts the load of another twice.
+    fn assert_no_double_count(&self) {
+        if !(self.now / STEP_MS).is_multiple_of(CHECK_INTERVAL_STEPS) {
             return;
         }
-        let skipped = usize::try_from(self.now / STEP / CHECK_STEPS).expect("small") % SAMPLE;
-        let places = (skipped..self.nodes.len()).step_by(SAMPLE);
-        for place in places.filter(|place| !self.nodes[*place].frozen) {
-            let (known, truth) = (self.known(place), self.truth(place));
+        let offset = usize::try_from(self.now / STEP_MS / CHECK_INTERVAL_STEPS).expect("small")
+            % SAMPLE_EVERY;
+        let indices = (offset..self.nodes.len()).step_by(SAMPLE_EVERY);
+        for index in indices.filter(|index| !self.nodes[*index].frozen) {
+            let (known, actual) = (self.known(index), self.actual(index));
             assert!(
-                known <= truth,
-                "{place} at {}: {known} of {truth}",
+                known <= actual,
+                "instance {index} at {} ms counts {known} requests of {actual}",
                 self.now
             );
         }
     }
 
     /// Instances that do not know the load of all others.
-    fn unsure(&self) -> Vec<usize> {
-        let places = (0..self.nodes.len()).filter(|place| !self.nodes[*place].frozen);
-        let unsure = places.filter(|place| self.known(*place) != self.truth(*place));
-        unsure.collect()
+    fn incomplete(&self) -> Vec<usize> {
+        let indices = (0..self.nodes.len()).filter(|index| !self.nodes[*index].frozen);
+        let incomplete = indices.filter(|index| self.known(*index) != self.actual(*index));
+        incomplete.collect()
     }
 
     fn aggregators(&self, domain: usize) -> Vec<usize> {
-        let places = (0..self.nodes.len()).filter(|place| self.nodes[*place].domain == domain);
-        let role = |place: &usize| {
-            let node = &self.nodes[*place];
+        let indices = (0..self.nodes.len()).filter(|index| self.nodes[*index].domain == domain);
+        let role = |index: &usize| {
+            let node = &self.nodes[*index];
             node.members.role(&node.name)
         };
-        places
-            .filter(|place| role(place) == Role::Aggregator)
+        indices
+            .filter(|index| role(index) == Role::Aggregator)
             .collect()
     }
 }
@@ -303,92 +308,87 @@
     name[1..].parse().expect("a number")
 }
 
-/// Where work goes in a crowded fleet depends on the work of all others. With a part of it
-/// missing, prompts meet at engines that are full; with a part counted twice, engines that
-/// have room are left idle.
+/// Each instance knows the total load of all others; a partial sum overloads engines, a double
+/// count leaves them idle.
 #[test]
-fn every_instance_knows_the_load_of_all_others() {
+fn each_instance_knows_total_load_of_others() {
     let mut fleet = Fleet::new(60, 1);
-    fleet.run(2000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
-    for place in 0..40 {
-        fleet.load(place * 7);
+    fleet.run(2000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
+    for index in 0..40 {
+        fleet.load(index * 7);
     }
     fleet.run(1000, |_| {});
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// What an instance says and hears must not grow with the fleet: at three hundred instances
-/// that told all others, words alone took more of the machines than the requests did.
+/// The messages of a member must not grow with the number of instances.
 #[test]
-fn words_of_a_member_do_not_grow_with_the_fleet() {
-    let words = [10, 60].map(|per_domain| {
+fn member_message_count_is_independent_of_fleet_size() {
+    let messages = [10, 60].map(|per_domain| {
         let mut fleet = Fleet::new(per_domain, 2);
         fleet.run(2000, |_| {});
         let member = fleet.nodes.last().expect("a member");
         assert_eq!(member.members.role(&member.name), Role::Member);
-        member.said + member.heard
+        member.sent + member.received
     });
-    assert!(words[1] <= words[0] + 4, "{words:?}");
+    assert!(messages[1] <= messages[0] + 4, "{messages:?}");
 }
 
-/// Both aggregators of a failure domain lose their power. Their members turn to the next
-/// ones by rank, and the sums of the domain are whole again before what they spoke of ends.
+/// If both aggregators of a domain fail, the next ones by rank replace them.
 #[test]
-fn lost_aggregators_are_replaced() {
+fn failed_aggregators_are_replaced() {
     let mut fleet = Fleet::new(60, 3);
     fleet.run(2000, |_| {});
-    let lost = fleet.aggregators(2);
-    assert_eq!(lost.len(), 2);
-    for place in lost {
-        fleet.nodes[place].frozen = true;
-        fleet.nodes[place].own = Vec::new();
+    let failed = fleet.aggregators(2);
+    assert_eq!(failed.len(), 2);
+    for index in failed {
+        fleet.nodes[index].frozen = true;
+        fleet.nodes[index].own = Vec::new();
     }
-    // What the two had themselves is counted until it outlives its time.
+    // The load of the two counts until it expires.
     fleet.run(STALE_MS, |_| {});
-    fleet.run(1000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    fleet.run(1000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// An aggregator wakes from a freeze and takes up where it stopped, beside the one that has
-/// taken over. Two sums of one domain must not be added, nor the old one taken for the new.
+/// An aggregator that resumes after a freeze sends sums beside its replacement; they must not be
+/// added.
 #[test]
-fn a_frozen_aggregator_that_comes_back_doubles_nothing() {
+fn resumed_aggregator_is_not_counted_twice() {
     let mut fleet = Fleet::new(60, 4);
     fleet.run(2000, |_| {});
     let frozen = fleet.aggregators(1)[0];
     fleet.nodes[frozen].frozen = true;
-    fleet.run(5000, Fleet::nothing_counts_twice);
+    fleet.run(5000, Fleet::assert_no_double_count);
     fleet.nodes[frozen].frozen = false;
-    fleet.run(8000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    fleet.run(8000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// Words pass from one failure domain to another in one direction only. The domain that is
-/// not heard counts for nothing after a while; nothing counts twice, and all is known again
-/// after the cut.
+/// A domain whose messages do not arrive expires, and counts again after the partition.
 #[test]
-fn a_domain_cut_one_way_is_left_out_and_comes_back() {
+fn domain_behind_one_way_partition_expires_and_recovers() {
     let mut fleet = Fleet::new(60, 5);
     fleet.run(2000, |_| {});
-    fleet.cut.push((0, 3));
-    fleet.run(6000, Fleet::nothing_counts_twice);
+    fleet.partitions.push((0, 3));
+    fleet.run(6000, Fleet::assert_no_double_count);
     let from: u32 = (0..fleet.nodes.len())
-        .filter(|place| fleet.nodes[*place].domain == 0)
-        .map(|place| requests(&fleet.nodes[place].own))
+        .filter(|index| fleet.nodes[*index].domain == 0)
+        .map(|index| requests(&fleet.nodes[index].own))
         .sum();
     let member = fleet.nodes.len() - 2;
     assert_eq!(fleet.nodes[member].domain, 3);
-    assert_eq!(fleet.known(member), fleet.truth(member) - from);
-    fleet.cut.clear();
-    fleet.run(8000, Fleet::nothing_counts_twice);
-    assert_eq!(fleet.unsure(), Vec::<usize>::new());
+    assert_eq!(fleet.known(member), fleet.actual(member) - from);
+    fleet.partitions.clear();
+    fleet.run(8000, Fleet::assert_no_double_count);
+    assert_eq!(fleet.incomplete(), Vec::<usize>::new());
 }
 
-/// An aggregator starts anew with an empty table. Members that held rows of its former life
-/// must forget them, or endpoints that were full then look full for ever.
+/// The rows of a restarted aggregator replace those of its former incarnation, which would
+/// otherwise stay.
 #[test]
-fn rows_of_a_former_life_are_forgotten() {
+fn rows_of_former_incarnation_are_dropped() {
     let mut views = Sums::default().views;
     let row = |tokens| {
         let load = Load {
@@ -397,105 +397,101 @@
         };
         (5, load)
     };
-    let answer = |echo, life, changes| Answer {
+    let answer = |echo, incarnation, changes| Answer {
         changes: Some(changes),
         echo,
-        life,
+        incarnation,
         members: 60,
     };
-    views.reported(1_000_000, Vec::new());
+    views.record_report(1_000_000, Vec::new());
     let changes = Changes {
-        anew: true,
+        snapshot: true,
         rows: vec![row(900)],
         version: 40,
     };
-    assert!(views.hear("e1", FIRST, answer(1_000_000, 1, changes)));
+    assert!(views.update("e1", ANY_RANK, answer(1_000_000, 1, changes)));
     assert_eq!(views.at("e1", 5).tokens, 900);
-    views.reported(1_200_000, Vec::new());
+    views.record_report(1_200_000, Vec::new());
     let changes = Changes {
-        anew: false,
+        snapshot: false,
         rows: vec![],
         version: 2,
     };
-    assert!(views.hear("e1", FIRST, answer(1_200_000, 2, changes)));
+    assert!(views.update("e1", ANY_RANK, answer(1_200_000, 2, changes)));
     assert_eq!(views.at("e1", 5).tokens, 0);
 }
 
-/// An answer lies in a buffer through a freeze. Taken for new when it arrives, its rows
-/// would send prompts to engines that have filled up since.
+/// The age of rows counts from the report that they answer; a delayed answer must not look new.
 #[test]
-fn an_answer_is_as_old_as_the_report_that_it_answers() {
+fn row_age_counts_from_answered_report() {
     let mut sums = Sums::default();
-    sums.views.reported(1_000_000, Vec::new());
+    sums.views.record_report(1_000_000, Vec::new());
     let answer = Answer {
         changes: Some(Changes::default()),
         echo: 1_000_000,
-        life: 1,
+        incarnation: 1,
         members: 60,
     };
-    assert!(sums.views.hear("e1", FIRST, answer));
+    assert!(sums.views.update("e1", ANY_RANK, answer));
     assert_eq!(sums.views.best(at(2000)), Some("e1"));
     assert_eq!(sums.views.best(at(9000)), None);
 }
 
-/// A member counts its own work itself. If the sum that it hears counted that work again,
-/// it would keep away from the engines that it uses.
+/// A member subtracts its own report from the sum; otherwise it would avoid the engines that it
+/// uses.
 #[test]
-fn a_member_takes_its_own_report_off_the_sum() {
+fn member_subtracts_own_report_from_sum() {
     let load = |tokens| Load {
         tokens,
         ..Load::default()
     };
     let mut views = Sums::default().views;
-    views.reported(1_000_000, vec![(5, load(3000))]);
+    views.record_report(1_000_000, vec![(5, load(3000))]);
     let changes = Changes {
-        anew: true,
+        snapshot: true,
         rows: vec![(5, load(7000))],
         version: 1,
     };
     let answer = Answer {
         changes: Some(changes),
         echo: 1_000_000,
-        life: 1,
+        incarnation: 1,
         members: 60,
     };
-    assert!(views.hear("e1", FIRST, answer));
+    assert!(views.update("e1", ANY_RANK, answer));
     assert_eq!(views.at("e1", 5).tokens, 4000);
 }
 
-/// Work that begins in another failure domain is told at once, row by row, between two whole
-/// sums. Taken for a whole sum it would empty all other endpoints, and every choice would
-/// meet at those that look idle.
+/// Updates of single rows between two full sums must not clear the others.
 #[test]
-fn rows_that_have_grown_change_no_others() {
+fn row_update_keeps_other_rows() {
     let load = |requests| Load {
         requests,
         ..Load::default()
     };
-    let part = |number, covers, rows| Part {
+    let part = |number, covers, rows| SumPart {
         covers,
-        life: 1,
+        incarnation: 1,
         members: 60,
         number,
         rows,
     };
     let mut sums = Sums::default();
     let whole = part(1, Some((0, u32::MAX)), vec![(5, load(2)), (7, load(3))]);
-    sums.domains.hear(at(10), "b", "e1", FIRST, &whole);
+    sums.domains.update(at(10), "b", "e1", ANY_RANK, &whole);
     let grown = part(2, None, vec![(7, load(4))]);
-    sums.domains.hear(at(20), "b", "e1", FIRST, &grown);
+    sums.domains.update(at(20), "b", "e1", ANY_RANK, &grown);
     assert_eq!(sums.domains.at(5).requests, 2);
     assert_eq!(sums.domains.at(7).requests, 4);
     let late = part(1, Some((0, u32::MAX)), vec![(5, load(2)), (7, load(3))]);
-    sums.domains.hear(at(30), "b", "e1", FIRST, &late);
+    sums.domains.update(at(30), "b", "e1", ANY_RANK, &late);
     assert_eq!(sums.domains.at(7).requests, 4);
 }
 
-/// All instances of a deployment start at once, and each knows nobody yet. Each took itself
-/// for the only one and read the store again and again until it had found the others, which
-/// made more calls than the hour that followed.
+/// An instance without known peers must not take itself for the only one and read the store at
+/// every start.
 #[test]
-fn an_instance_that_knows_nobody_is_no_reader() {
+fn instance_without_known_peers_is_a_member() {
     let mut members = Members::default();
     assert_eq!(members.role("e1"), Role::Member);
     members.set("e2", "a", 120);
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment for the tests: one model service and one plain service.
+//! Shared fixtures: a deployment with a model service and a plain service.
 
 #![allow(
     dead_code,
@@ -23,7 +23,7 @@
     std::time::Duration,
 };
 
-/// Output tokens of a long generation.
+/// Expected tokens of a long generation.
 pub const LONG: Need = Need {
     output: 900,
     prompt: 3000,
@@ -41,7 +41,7 @@
     Settings {
         budget_window: Duration::from_secs(10),
         domain: domain.to_string(),
-        most_instances: 10,
+        max_instances: 10,
         retry_burst: 50.0,
         retry_ratio: 0.2,
         revocation: Duration::from_secs(5),
@@ -68,7 +68,7 @@
 pub fn engine() -> Engine {
     Engine {
         backups: true,
-        handle_life: Duration::from_secs(5),
+        handle_ttl: Duration::from_secs(5),
         kv_tokens: 34_000,
         moves: true,
         slots: 48,
@@ -111,7 +111,7 @@
         key: Some("key-1".to_string()),
         last_event: None,
         length_hint: Some(900),
-        most_output: 2000,
+        max_output_tokens: 2000,
         path: path.to_string(),
         prompt: 3000,
     }
@@ -120,7 +120,7 @@
 pub fn listing(id: &str, service: &str, domain: &str) -> Listing {
     Listing {
         address: "127.0.0.1:9".parse().expect("an address"),
-        born: Some(1),
+        started_at: Some(1),
         cold: Duration::ZERO,
         domain: domain.to_string(),
         id: id.to_string(),
@@ -130,7 +130,7 @@
     }
 }
 
-/// An instance of domain `a` that knows its configuration and the given endpoints.
+/// An instance in domain `a` with a configuration and the given endpoints.
 pub fn instance(endpoints: &[Listing]) -> State {
     instance_in("a", 1, endpoints)
 }
@@ -138,22 +138,22 @@
 pub fn instance_in(domain: &str, seed: u64, endpoints: &[Listing]) -> State {
     let mut state = State::new(settings(domain), SmallRng::seed_from_u64(seed));
     state.configure(config(1));
-    state.config_freshness.prove(at(0));
-    state.prove_list(at(0), at(0));
+    state.config_freshness.confirm(at(0));
+    state.confirm_list(at(0), at(0));
     for listing in endpoints {
         state.change(at(0), Change::Set(listing.clone()));
     }
     state
 }
 
-/// Begins a long generation, as the loop does.
-pub fn begin(state: &mut State, endpoint: EndpointKey, backup: Option<EndpointKey>) -> RunKey {
+/// Adds a run of a long generation.
+pub fn begin_run(state: &mut State, endpoint: EndpointKey, backup: Option<EndpointKey>) -> RunKey {
     state.begin(Run {
         backup,
         endpoint,
         events: 0,
         expected: LONG.output,
-        most: 2000,
+        max_output_tokens: 2000,
         prompt: LONG.prompt,
         service: "model".to_string(),
         target: None,
@@ -167,8 +167,8 @@
     endpoint.listing.id.clone()
 }
 
-/// The endpoint that a pick sends to.
-pub fn sent(pick: Pick) -> (EndpointKey, Option<EndpointKey>) {
+/// The endpoint and backup of a pick; panics if there is none.
+pub fn picked(pick: Pick) -> (EndpointKey, Option<EndpointKey>) {
     match pick {
         Pick::Send(key, backup) => (key, backup),
         Pick::Wait => panic!("nothing was picked"),
--- a/crates/forward/tests/histories.rs
+++ b/crates/forward/tests/histories.rs
@@ -1,10 +1,10 @@
-//! Long randomised runs of the shipped decisions on knowledge of differing age.
+//! Randomised simulations of decisions on knowledge of differing age.
 //!
-//! `HISTORIES` sets their number, `SEED` what they are drawn from, so that a long
-//! run is `HISTORIES=1000000 SEED=7 cargo test --release -p forward --test histories`.
+//! `HISTORIES` sets their number and `SEED` the seed, as in
+//! `HISTORIES=1000000 SEED=7 cargo test --release -p forward --test histories`.
 
 mod common;
-mod world;
+mod simulation;
 
 use {
     proptest::{
@@ -12,14 +12,14 @@
         prelude::*,
         test_runner::{RngSeed, TestRunner},
     },
+    simulation::{ENGINES, INSTANCES, KEYS, Op, Simulation},
     std::cell::Cell,
-    world::{ENGINES, INSTANCES, KEYS, Op, World},
 };
 
-/// Histories run where the environment names no number.
+/// Default number of simulations.
 const HISTORIES: u32 = 3000;
 
-/// Seed where the environment names none.
+/// Default seed.
 const SEED: u64 = 20_261_203;
 
 fn setting<T: std::str::FromStr>(name: &str, default: T) -> T {
@@ -30,35 +30,33 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let place = 0..INSTANCES;
+    let index = 0..INSTANCES;
     let engine = 0..ENGINES;
     prop_oneof![
-        12 => (place.clone(), 0..2_usize).prop_map(|(place, topic)| Op::Ask(place, topic)),
-        12 => (place.clone(), 0..2_usize).prop_map(|(place, topic)| Op::Answer(place, topic)),
-        2 => (place.clone(), 500..8000_u64).prop_map(|(place, millis)| Op::Cut(place, millis)),
+        12 => (index.clone(), 0..2_usize).prop_map(|(index, topic)| Op::Ask(index, topic)),
+        12 => (index.clone(), 0..2_usize).prop_map(|(index, topic)| Op::Answer(index, topic)),
+        2 => (index.clone(), 500..8000_u64).prop_map(|(index, millis)| Op::Cut(index, millis)),
         1 => (0..3_usize, any::<bool>()).prop_map(|(domain, out)| Op::Domain(domain, out)),
-        2 => (place.clone(), 500..7000_u64).prop_map(|(place, millis)| Op::Freeze(place, millis)),
+        2 => (index.clone(), 500..7000_u64).prop_map(|(index, millis)| Op::Freeze(index, millis)),
         3 => (0..KEYS, any::<bool>()).prop_map(|(key, held)| Op::Key(key, held)),
-        10 => (place.clone(), place.clone()).prop_map(|(place, from)| Op::Hear(place, from)),
+        10 => (index.clone(), index.clone()).prop_map(|(index, from)| Op::Echo(index, from)),
         1 => engine.clone().prop_map(Op::Leave),
-        1 => place.clone().prop_map(Op::PowerLoss),
-        24 => (place.clone(), 0..KEYS).prop_map(|(place, key)| Op::Request(place, key)),
+        1 => index.clone().prop_map(Op::PowerLoss),
+        24 => (index.clone(), 0..KEYS).prop_map(|(index, key)| Op::Request(index, key)),
         2 => engine.clone().prop_map(Op::Start),
-        8 => (place.clone(), place, 1..3000_u64, any::<bool>())
-            .prop_map(|(from, to, way, records)| Op::Tell(from, to, way, records)),
+        8 => (index.clone(), index, 1..3000_u64, any::<bool>())
+            .prop_map(|(from, to, delay_ms, records)| Op::Report(from, to, delay_ms, records)),
         16 => (1..400_u64).prop_map(Op::Tick),
         2 => (400..5000_u64).prop_map(Op::Tick),
         1 => engine.prop_map(Op::Vanish),
     ]
 }
 
-/// Instances read the store late, freeze with answers in their buffers, are cut off and
-/// learn from each other by words that are long on the way, while operators take keys and
-/// failure domains away and engines leave and start again. A customer would notice a key
-/// that still works after it was taken away, an operator work in a domain that is out, a
-/// caller a 401 under a key that has long been held.
+/// With delays, freezes and partitions, no instance accepts a key that was revoked too long ago,
+/// rejects one that has long been valid, or sends work to a leaving engine or a disabled failure
+/// domain.
 #[test]
-fn no_history_breaks_a_promise() {
+fn random_histories_keep_invariants() {
     let config = ProptestConfig {
         cases: setting("HISTORIES", HISTORIES),
         failure_persistence: None,
@@ -69,11 +67,11 @@
     let sent = Cell::new(0);
     let mut runner = TestRunner::new(config);
     let result = runner.run(&vec(op(), 1..150), |ops| {
-        let mut world = World::new(1);
+        let mut simulation = Simulation::new(1);
         for op in ops {
-            world.step(op);
+            simulation.step(op);
         }
-        sent.set(sent.get() + world.sent().values().sum::<usize>());
+        sent.set(sent.get() + simulation.sent().values().sum::<usize>());
         Ok(())
     });
     if let Err(error) = result {
--- a/crates/forward/tests/leaving.rs
+++ b/crates/forward/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, lapse, come back, and failure domains that are taken out.
+//! Endpoints that leave, expire or return, and disabled failure domains.
 
 mod common;
 
@@ -12,57 +12,55 @@
     ]
 }
 
-/// An engine announces that it leaves, or its entry vanishes while it still works for a
-/// second or two. Requests sent there are cut off with it.
+/// An engine is leaving once it announces so or its entry is removed; new requests would be lost
+/// with it.
 #[test]
-fn nothing_new_goes_to_an_engine_that_leaves() {
-    for vanishes in [false, true] {
+fn leaving_engine_gets_no_new_requests() {
+    for removed in [false, true] {
         let mut state = instance(&pair());
-        let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
+        let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
         assert_eq!(id(&state, first), "m1");
         let mut leaving = listing("m1", "model", "a");
         leaving.leaving = true;
-        let change = if vanishes {
-            Change::Gone("m1".to_string())
+        let change = if removed {
+            Change::Removed("m1".to_string())
         } else {
             Change::Set(leaving)
         };
-        // The list has been followed without a break, so a vanished entry is believed.
-        state.prove_list(at(2200), at(2200));
+        // The list is current, so that a removed entry takes effect at once.
+        state.confirm_list(at(2200), at(2200));
         state.change(at(2300), change);
-        let (next, _) = sent(state.pick(at(2301), "model", LONG, &[]));
+        let (next, _) = picked(state.pick(at(2301), "model", LONG, &[]));
         assert_ne!(id(&state, next), "m1");
-        let run = begin(&mut state, first, Some(next));
+        let run = begin_run(&mut state, first, Some(next));
         assert!(state.must_move(run));
     }
 }
 
-/// An instance has just started, and an engine's entry vanishes. The first word of the
-/// store looked like its return, so the entry was doubted for two seconds, in which the
-/// engine was gone with its runs.
+/// The first read of the list must not count as a recovery of the store, which delays removals.
 #[test]
-fn a_new_instance_believes_what_vanishes() {
+fn removal_right_after_start_applies_at_once() {
     let mut state = instance(&pair());
-    let (first, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    let run = begin(&mut state, first, None);
-    state.change(at(300), Change::Gone(id(&state, first)));
+    let (first, _) = picked(state.pick(at(10), "model", LONG, &[]));
+    let run = begin_run(&mut state, first, None);
+    state.change(at(300), Change::Removed(id(&state, first)));
     assert!(state.must_move(run));
 }
 
-/// The store was away and dropped the entries of engines that live. Believing it at once
-/// would leave no engine to send to, and callers would be refused by a healthy system.
+/// Entries of live engines expire while the store is unreachable; removing them at once would leave
+/// no engine.
 #[test]
-fn entries_that_lapsed_during_an_outage_are_doubted_first() {
+fn removals_after_store_outage_are_delayed() {
     let mut state = instance(&pair());
-    // The store is away from 1 s on, and back with its first answer at 8 s.
-    state.prove_list(at(1000), at(900));
-    state.prove_list(at(8000), at(7990));
+    // The store is unreachable from 1 s to 8 s.
+    state.confirm_list(at(1000), at(900));
+    state.confirm_list(at(8000), at(7990));
     for name in ["m1", "m2"] {
-        state.change(at(8001), Change::Gone(name.to_string()));
+        state.change(at(8001), Change::Removed(name.to_string()));
     }
-    let (during, _) = sent(state.pick(at(8100), "model", LONG, &[]));
+    let (during, _) = picked(state.pick(at(8100), "model", LONG, &[]));
     assert_eq!(id(&state, during), "m1");
-    // One comes back within two seconds, the other does not.
+    // One registers again within two seconds, the other does not.
     state.change(at(9000), Change::Set(listing("m1", "model", "a")));
     state.tick(at(10_100));
     let usable = |state: &State, name: &str| {
@@ -73,55 +71,58 @@
     assert!(!usable(&state, "m2"));
 }
 
-/// Operators take a failure domain out because its engines turn cold. Whatever is sent
-/// there after that, a run that goes on from its copy included, breaks their promise.
+/// A disabled failure domain gets no new work, copies or continued runs.
 #[test]
-fn nothing_goes_to_a_domain_that_is_out() {
+fn disabled_domain_gets_no_work() {
     let mut state = instance(&pair());
-    let (first, backup) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
-    let run = begin(&mut state, first, Some(backup));
-    assert!(state.may_go_on_at(at(20), backup));
-    assert_eq!(state.sound_backup(at(20), run), Some(backup));
+    let run = begin_run(&mut state, first, Some(backup));
+    assert!(state.may_continue_at(at(20), backup));
+    assert_eq!(state.healthy_backup(at(20), run), Some(backup));
     state.set_domain("b", true);
-    assert!(!state.may_go_on_at(at(20), backup));
-    assert_eq!(state.sound_backup(at(20), run), None);
+    assert!(!state.may_continue_at(at(20), backup));
+    assert_eq!(state.healthy_backup(at(20), run), None);
     assert_eq!(state.pick_target(at(20), run, &[]), None);
     state.set_domain("b", false);
-    assert!(state.may_go_on_at(at(20), backup));
+    assert!(state.may_continue_at(at(20), backup));
 }
 
-/// The engine that holds a run's copy leaves as well. For a moment it is all that is left
-/// of the run, and it still works; a while later it must get nothing more.
+/// An engine that has just started to leave may hold the only copy of a run; later it must get
+/// nothing.
 #[test]
-fn a_leaving_engine_may_take_a_run_over_for_a_moment() {
+fn leaving_engine_may_continue_run_within_grace() {
     let mut state = instance(&pair());
-    let (first, backup) = sent(state.pick(at(10), "model", LONG, &[]));
+    let (first, backup) = picked(state.pick(at(10), "model", LONG, &[]));
     let backup = backup.expect("an engine for the copy");
-    let run = begin(&mut state, first, Some(backup));
+    let run = begin_run(&mut state, first, Some(backup));
     let name = id(&state, backup);
     let mut leaving = listing(&name, "model", "b");
     leaving.leaving = true;
     state.change(at(1000), Change::Set(leaving));
-    assert_eq!(state.sound_backup(at(1100), run), None);
-    assert!(state.may_go_on_at(at(1800), backup));
-    assert!(!state.may_go_on_at(at(2000), backup));
+    assert_eq!(state.healthy_backup(at(1100), run), None);
+    assert!(state.may_continue_at(at(1800), backup));
+    assert!(!state.may_continue_at(at(2000), backup));
 }
 
-/// An engine dies without a word. The first request that cannot reach it must keep the
-/// next ones away, for longer with each failure, but a new life under the same id starts
-/// with a clean record.
+/// Failed connections lengthen the backoff; a restart under the same id resets it.
 #[test]
-fn an_unreachable_endpoint_is_avoided_until_it_is_born_again() {
+fn unreachable_endpoint_is_avoided_until_restart() {
     let mut state = instance(&pair());
-    let (key, _) = sent(state.pick(at(10), "model", LONG, &[]));
-    state.endpoint_mut(key).expect("known").unreachable(at(100));
+    let (key, _) = picked(state.pick(at(10), "model", LONG, &[]));
+    state
+        .endpoint_mut(key)
+        .expect("known")
+        .mark_unreachable(at(100));
     assert!(!state.endpoint(key).expect("known").usable(at(350)));
     assert!(state.endpoint(key).expect("known").usable(at(400)));
-    state.endpoint_mut(key).expect("known").unreachable(at(400));
+    state
+        .endpoint_mut(key)
+        .expect("known")
+        .mark_unreachable(at(400));
     assert!(!state.endpoint(key).expect("known").usable(at(900)));
     let mut reborn = listing("m1", "model", "a");
-    reborn.born = Some(2);
+    reborn.started_at = Some(2);
     state.change(at(900), Change::Set(reborn));
     assert!(state.endpoint(key).expect("known").usable(at(900)));
 }
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -1,68 +1,64 @@
-//! Limits that hold over the sum of all instances, without a message between them.
+//! Limits that hold over all instances without coordination.
 
 mod common;
 
 use {
     common::*,
-    forward::{budget::Budget, pace::Pace},
+    forward::{budget::RetryBudget, rate_limit::RateLimiter},
     proptest::prelude::*,
 };
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Endpoints fail, and each instance sends again whatever its part of the budget
-    /// allows. The parts of all instances together must stay within the joint bound in
-    /// any window, however the callers are spread, or a failing service drowns in
-    /// repeats.
+    /// The retries of all instances stay within the shared budget in any window, however requests
+    /// are spread.
     #[test]
-    fn second_sends_stay_within_the_joint_budget(
+    fn retries_stay_within_shared_budget(
         arrivals in proptest::collection::vec((0_usize..10, 0_u64..30_000), 1..600),
     ) {
         let mut arrivals = arrivals;
         arrivals.sort_by_key(|(_, time)| *time);
-        let mut budgets = (0..10).map(|_| Budget::new(&settings("a"))).collect::<Vec<_>>();
-        let mut seconds = Vec::new();
+        let mut budgets = (0..10).map(|_| RetryBudget::new(&settings("a"))).collect::<Vec<_>>();
+        let mut retries = Vec::new();
         for (instance, time) in &arrivals {
             let budget = &mut budgets[*instance];
-            budget.first("desk", at(*time));
+            budget.record_request("desk", at(*time));
             for _ in 0..3 {
-                if budget.allows("desk", at(*time)) {
-                    budget.second("desk", at(*time));
-                    seconds.push(*time);
+                if budget.allows_retry("desk", at(*time)) {
+                    budget.record_retry("desk", at(*time));
+                    retries.push(*time);
                 }
             }
         }
-        for end in &seconds {
+        for end in &retries {
             let within = |time: &u64, back: u64| *time + back <= *end && *time + back + 10_000 > *end;
-            let second = seconds.iter().filter(|time| within(time, 0)).count();
-            // First sends count in the window itself, the one before it, or the one half
-            // a window before it, whichever has most.
-            let first = [0, 5000, 10_000]
+            let retried = retries.iter().filter(|time| within(time, 0)).count();
+            // Requests count in the window itself, in the one before it, or in the one half a
+            // window before it, whichever has the most.
+            let requests = [0, 5000, 10_000]
                 .map(|back| arrivals.iter().filter(|(_, time)| within(time, back)).count())
                 .into_iter()
                 .max()
                 .unwrap_or_default();
             #[expect(clippy::cast_precision_loss, reason = "small counts")]
-            let (first, second) = (first as f64, second as f64);
-            prop_assert!(second <= first * 0.2 + 50.0, "{second} after {first}");
+            let (requests, retried) = (requests as f64, retried as f64);
+            prop_assert!(retried <= requests * 0.2 + 50.0, "{retried} retries of {requests} requests");
         }
     }
 
-    /// Ten instances find the same engine the least loaded one and send there at once,
-    /// just when it has turned cold without a word. Above its stated rate it falls over
-    /// and takes all its runs with it.
+    /// Ten instances that choose the same cold engine together stay within its rate.
     #[test]
-    fn a_cold_engine_is_not_overrun(times in proptest::collection::vec(0_u64..3000, 1..400)) {
+    fn cold_engine_rate_is_not_exceeded(times in proptest::collection::vec(0_u64..3000, 1..400)) {
         let mut times = times;
         times.sort_unstable();
-        let most = 2; // 28 a second over ten instances, rounded down
-        let mut paces = vec![Pace::default(); 10];
+        let max_sends = 2; // 28 a second over ten instances, rounded down
+        let mut rate_limiters = vec![RateLimiter::default(); 10];
         let mut sent = Vec::new();
-        for (place, time) in times.iter().enumerate() {
-            let pace = &mut paces[place % 10];
-            if pace.allows(at(*time), most) {
-                pace.sent(at(*time));
+        for (index, time) in times.iter().enumerate() {
+            let rate_limiter = &mut rate_limiters[index % 10];
+            if rate_limiter.allows(at(*time), max_sends) {
+                rate_limiter.record_send(at(*time));
                 sent.push(*time);
             }
         }
@@ -73,60 +69,57 @@
     }
 }
 
-/// One instance cannot use up what belongs to the others, even if all callers come to it
-/// and everything fails.
+/// An instance that gets all requests uses only its own share of the budget.
 #[test]
-fn one_instance_uses_only_its_part() {
-    let mut budget = Budget::new(&settings("a"));
+fn instance_uses_only_its_share_of_retries() {
+    let mut budget = RetryBudget::new(&settings("a"));
     for _ in 0..10 {
-        budget.first("desk", at(0));
+        budget.record_request("desk", at(0));
     }
-    let mut seconds = 0;
-    while budget.allows("desk", at(1)) {
-        budget.second("desk", at(1));
-        seconds += 1;
+    let mut retries = 0;
+    while budget.allows_retry("desk", at(1)) {
+        budget.record_retry("desk", at(1));
+        retries += 1;
     }
-    assert_eq!(seconds, 1 + 5);
-    assert!(budget.allows("model", at(1)));
-    assert!(budget.allows("desk", at(10_100)));
+    assert_eq!(retries, 1 + 5);
+    assert!(budget.allows_retry("model", at(1)));
+    assert!(budget.allows_retry("desk", at(10_100)));
 }
 
-/// A deployment grows from ten to eighty instances. Parts cut for ten would let all of them
-/// together send again eight times as often as the endpoints can bear.
+/// Shares computed for ten instances would exceed the budget in a deployment of eighty.
 #[test]
-fn parts_shrink_when_there_are_more_instances() {
+fn retry_share_shrinks_with_more_instances() {
     let mut state = instance(&[]);
-    let sends = |state: &mut forward::State, now: u64| {
-        let mut sends = 0;
-        while state.budget.allows("desk", at(now)) {
-            state.budget.second("desk", at(now));
-            sends += 1;
+    let retries = |state: &mut forward::State, now: u64| {
+        let mut retries = 0;
+        while state.budget.allows_retry("desk", at(now)) {
+            state.budget.record_retry("desk", at(now));
+            retries += 1;
         }
-        sends
+        retries
     };
-    assert_eq!(sends(&mut state, 0), 5);
+    assert_eq!(retries(&mut state, 0), 5);
     state.count_instances(7);
-    assert_eq!(sends(&mut state, 20_000), 5);
+    assert_eq!(retries(&mut state, 20_000), 5);
     state.count_instances(40);
-    assert_eq!(sends(&mut state, 40_000), 1);
+    assert_eq!(retries(&mut state, 40_000), 1);
     state.count_instances(80);
-    assert_eq!(sends(&mut state, 60_000), 0);
+    assert_eq!(retries(&mut state, 60_000), 0);
 }
 
-/// The operators lower the bounds while instances run. Old parts would go on being used
-/// until each instance is restarted; what was sent before counts against the new ones.
+/// Lowered limits apply without a restart, and earlier retries count against them.
 #[test]
-fn changed_settings_are_in_force_at_once() {
+fn changed_settings_apply_at_once() {
     let mut state = instance(&[]);
     for now in 0..3 {
-        assert!(state.budget.allows("desk", at(now)));
-        state.budget.second("desk", at(now));
+        assert!(state.budget.allows_retry("desk", at(now)));
+        state.budget.record_retry("desk", at(now));
     }
     let mut lower = settings("a");
     lower.retry_burst = 30.0;
     lower.revocation = millis(2000);
-    state.adjust(lower);
-    assert!(!state.budget.allows("desk", at(10)));
+    state.update_settings(lower);
+    assert!(!state.budget.allows_retry("desk", at(10)));
     let refused = state.admit(at(1800), &inbound("/desk/x", at(1800)));
     assert_eq!(refused.map(|_| ()), Err(Refusal::Stale));
 }
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -10,8 +10,8 @@
     },
     fellow::datagram::Datagrams,
     forward::{
-        aggregate::{domains::Part, members::Role, table::Changes, view},
-        reader::{Mark, TOPICS, Word},
+        aggregate::{domains::SumPart, members::Role, table::Changes, view},
+        reader::{EchoTimestamp, TOPICS, Watermark},
     },
     tokio::sync::mpsc,
 };
@@ -39,7 +39,9 @@
     let role = role(shared);
     if role == Role::Equal {
         let mut state = shared.state.borrow_mut();
-        state.fellows.hear(&report.name, now, report.number, loads);
+        state
+            .peer_loads
+            .update(&report.name, now, report.number, loads);
     } else if shared.is_near(&report.name) {
         // A report of another domain, whose sender takes instances for few yet, is counted
         // in the sum of its own domain.
@@ -61,21 +63,21 @@
     note(shared, &answer.name, answer.life, answer.number);
     let has_rows = answer.changes.is_some();
     let changes = answer.changes.map(|changes| Changes {
-        anew: changes.anew,
+        snapshot: changes.anew,
         rows: changes.loads.into_iter().map(load).collect(),
         version: changes.version,
     });
     let taken = view::Answer {
         changes,
         echo,
-        life: answer.life,
+        incarnation: answer.life,
         members: answer.members,
     };
     {
         let mut state = shared.state.borrow_mut();
-        state.members.heard(&answer.name);
+        state.members.mark_responsive(&answer.name);
         if let Some(rank) = state.members.rank(&answer.name) {
-            state.sums.views.hear(&answer.name, rank, taken);
+            state.sums.views.update(&answer.name, rank, taken);
         }
     }
     shared.settle(role(shared));
@@ -89,15 +91,15 @@
     note(shared, &sum.name, sum.life, sum.number);
     {
         let mut state = shared.state.borrow_mut();
-        state.members.heard(&sum.name);
+        state.members.mark_responsive(&sum.name);
         let domain = state.members.domain(&sum.name).map(ToString::to_string);
         let (Some(domain), Some(rank)) = (domain, state.members.rank(&sum.name)) else {
             return;
         };
         if domain != shared.settings.instance.domain {
-            let part = Part {
+            let part = SumPart {
                 covers: sum.covers,
-                life: sum.life,
+                incarnation: sum.life,
                 members: sum.members,
                 number: sum.number,
                 rows: sum.loads.into_iter().map(load).collect(),
@@ -106,7 +108,7 @@
             state
                 .sums
                 .domains
-                .hear(now, &domain, &sum.name, rank, &part);
+                .update(now, &domain, &sum.name, rank, &part);
         }
     }
     hear_words(shared, &sum.name, true, sum.echo, sum.words);
@@ -116,7 +118,7 @@
 fn note(shared: &Shared, name: &str, life: u64, number: u64) {
     if shared.fellows.note(name, life, number) {
         log::info!(fellow = name; "fellow instance has started anew");
-        shared.state.borrow_mut().fellows.forget(name);
+        shared.state.borrow_mut().peer_loads.forget(name);
     }
 }
 
@@ -127,7 +129,7 @@
     echo: (u64, u64),
     words: [RawWord; TOPICS],
 ) {
-    let words = words.map(|(age, position)| Word {
+    let words = words.map(|(age, position)| Watermark {
         age: age.map(|age| Duration::from_millis(u64::from(age))),
         position,
     });
@@ -135,15 +137,15 @@
     shared
         .readers
         .borrow_mut()
-        .hear(name, now, aggregates, words);
-    let (life, micros) = echo;
-    let echo = Mark {
+        .update(name, now, aggregates, words);
+    let (incarnation, micros) = echo;
+    let echo = EchoTimestamp {
         at: Time::from_micros(micros),
-        life,
+        incarnation,
     };
     for (topic, word) in topic::ALL.into_iter().zip(words) {
         let known = shared.topic(topic).position.get();
-        if let Some(asked) = known.and_then(|position| word.proves(echo, shared.life, position)) {
+        if let Some(asked) = known.and_then(|position| word.confirms(echo, shared.life, position)) {
             follow::prove(shared, topic, asked);
         }
     }
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/tell.rs
@@ -165,7 +165,7 @@
         words: words(shared),
     };
     let mut reported = false;
-    for link in links.iter().filter(|link| link.near || !many) {
+    for link in links.iter().filter(|link| link.same_domain || !many) {
         let name = shared.state.borrow().members.name(link.key).to_string();
         let Some(address) = shared.fellows.address(&name) else {
             continue;
@@ -176,7 +176,7 @@
         }
         if many && !reported {
             let mut state = shared.state.borrow_mut();
-            state.sums.views.reported(number, loads.clone());
+            state.sums.views.record_report(number, loads.clone());
             reported = true;
         }
         if many {
@@ -191,7 +191,7 @@
 fn sum(shared: &Shared, datagrams: &Datagrams, links: &[Link], own: &load::Report, is_whole: bool) {
     let now = clock::now();
     let mut names = shared.state.borrow().sums.domains.senders();
-    for link in links.iter().filter(|link| !link.near) {
+    for link in links.iter().filter(|link| !link.same_domain) {
         let name = shared.state.borrow().members.name(link.key).to_string();
         if let Some(address) = shared.fellows.address(&name) {
             shared.asked(datagrams, link.key, address);
@@ -290,7 +290,7 @@
         let complete = changes.rows.len() < MOST_ROWS;
         version = changes.version;
         answer.changes = Some(RawChanges {
-            anew: changes.anew,
+            anew: changes.snapshot,
             loads: changes.rows.into_iter().map(row).collect(),
             version,
         });
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -137,17 +137,17 @@
         digest,
         load.tokens,
         load.copies,
-        load.reading,
+        load.prefill_tokens,
         load.requests,
     )
 }
 
 /// A row as decisions know it.
 #[must_use]
-pub const fn load((digest, tokens, copies, reading, requests): Row) -> (u32, Load) {
+pub const fn load((digest, tokens, copies, prefill_tokens, requests): Row) -> (u32, Load) {
     let load = Load {
         copies,
-        reading,
+        prefill_tokens,
         requests,
         tokens,
     };
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -22,7 +22,7 @@
         load::Report,
         reader::{Readers, TOPICS},
         request::Ticket,
-        state::Place,
+        state::QueuePosition,
     },
     platform::{Store, store::Topic},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
@@ -130,7 +130,7 @@
     /// Notes that an endpoint could not be reached.
     pub fn unreachable(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
-            endpoint.unreachable(clock::now());
+            endpoint.mark_unreachable(clock::now());
         }
     }
 }
@@ -138,7 +138,7 @@
 /// A place in the queue, left when it is dropped.
 #[derive(Debug)]
 pub struct Waiting {
-    place: Place,
+    place: QueuePosition,
     shared: Rc<Shared>,
 }
 
@@ -156,7 +156,7 @@
     /// Whether another request comes first.
     #[must_use]
     pub fn passed_over(&self) -> bool {
-        self.shared.state.borrow().passed_over(&self.place)
+        self.shared.state.borrow().is_preceded(&self.place)
     }
 }
 
@@ -231,7 +231,7 @@
     /// An endpoint answered, well or with a failure of its own.
     pub fn answered(&self, key: EndpointKey, failed: bool) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
-            endpoint.answered(failed);
+            endpoint.record_answer(failed);
         }
     }
 
@@ -239,7 +239,7 @@
     pub fn count_send(&self, service: &str, again: bool) {
         let now = clock::now();
         if again {
-            self.state.borrow_mut().budget.second(service, now);
+            self.state.borrow_mut().budget.record_retry(service, now);
         }
         self.meters.sent(again);
     }
@@ -262,7 +262,7 @@
     pub fn take_back_send(&self, service: &str, again: bool) {
         if again {
             let now = clock::now();
-            self.state.borrow_mut().budget.take_back(service, now);
+            self.state.borrow_mut().budget.refund_retry(service, now);
         }
     }
 
@@ -271,9 +271,9 @@
         let now = clock::now();
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             if status == StatusCode::MISDIRECTED_REQUEST {
-                endpoint.unreachable(now);
+                endpoint.mark_unreachable(now);
             } else {
-                endpoint.full(now);
+                endpoint.mark_full(now);
             }
         }
     }
@@ -281,7 +281,7 @@
     /// A request is on its way to an endpoint.
     pub fn sent(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
-            endpoint.pace.sent(clock::now());
+            endpoint.rate_limiter.record_send(clock::now());
         }
     }
 }
@@ -307,7 +307,7 @@
     pub fn asked(&self, datagrams: &Datagrams, key: MemberKey, address: SocketAddr) {
         let connected = datagrams.is_open(address);
         let mut state = self.state.borrow_mut();
-        state.members.asked(key, clock::now(), connected);
+        state.members.expect_answer(key, clock::now(), connected);
     }
 
     /// Life and version of an aggregator's sums that are held, if its rows are wanted: those
@@ -327,7 +327,7 @@
         if self.draining.get() {
             return 0;
         }
-        let members = self.state.borrow().fellows.count(now) + 1;
+        let members = self.state.borrow().peer_loads.count(now) + 1;
         u32::try_from(members).unwrap_or(u32::MAX)
     }
 
@@ -336,7 +336,7 @@
     pub fn domain_sum(&self, own: &Report, now: Time) -> (Report, u32) {
         let members = self.speaks_for(now);
         let state = self.state.borrow();
-        let mut loads = state.fellows.sums().clone();
+        let mut loads = state.peer_loads.sums().clone();
         add_rows(&mut loads, own);
         (loads, members)
     }
@@ -345,8 +345,10 @@
     /// to hear of it before their next choice.
     pub fn take_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
-        let State { fellows, sums, .. } = &mut *state;
-        let before = fellows.report(member);
+        let State {
+            peer_loads, sums, ..
+        } = &mut *state;
+        let before = peer_loads.report(member);
         let grown = loads.iter().filter(|(digest, load)| {
             let before = before.iter().find(|(other, _)| other == digest);
             before.is_none_or(|(_, before)| load.requests > before.requests)
@@ -356,16 +358,18 @@
             self.grown.borrow_mut().extend(grown);
             self.report_now.notify_one();
         }
-        sums.report(now, fellows, member, number, loads);
+        sums.report(now, peer_loads, member, number, loads);
     }
 
     /// Takes the present sums into the table that members are told from.
     pub fn publish(&self, own: Report) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let State { fellows, sums, .. } = &mut *state;
-        fellows.expire(now);
-        sums.publish(now, fellows, own);
+        let State {
+            peer_loads, sums, ..
+        } = &mut *state;
+        peer_loads.expire(now);
+        sums.publish(now, peer_loads, own);
     }
 
     /// Settles where the load of other instances is taken from.
@@ -376,7 +380,7 @@
             log::info!(role:?, before:?; "part in the exchange of load changed");
         }
         let mut state = self.state.borrow_mut();
-        if state.sums.settle(now, role != Role::Member) {
+        if state.sums.select_source(now, role != Role::Member) {
             let aggregator = state.sums.aggregator().unwrap_or_default();
             let age = state.sums.age(now).unwrap_or_default();
             log::info!(aggregator, role:?, age_ms = age.as_millis(); "load of others taken from");
