--- a/crates/carawayhead/src/command/secrets.rs
+++ b/crates/carawayhead/src/command/secrets.rs
@@ -7,7 +7,7 @@
 };
 
 /// Name in every certificate of an instance; instances know each other by it.
-pub const PEER_NAME: &str = fellow::PEER_NAME;
+pub const PEER_NAME: &str = peer::PEER_NAME;
 
 /// File of the authority's certificate.
 const AUTHORITY: &str = "authority.pem";
@@ -64,7 +64,7 @@
 }
 
 fn certificate_fault(name: &str, error: &rcgen::Error) -> Error {
-    Error::Fellow(fellow::Error::Certificate(
+    Error::Fellow(peer::Error::Certificate(
         name.to_string(),
         error.to_string(),
     ))
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -14,7 +14,7 @@
         Gate,
         server::{self, Pem},
     },
-    fellow::{Asked, Hello, Link},
+    peer::{Asked, Hello, Link},
     std::net::SocketAddr,
     streamlog::stream::Stream,
     tokio::{sync::oneshot, time::MissedTickBehavior},
@@ -186,7 +186,7 @@
     let Some(side) = &settings.fellow else {
         return Ok(None);
     };
-    let configs = fellow::tls::configs(&fellow::tls::Files {
+    let configs = peer::tls::configs(&peer::tls::Files {
         authority: side.authority.clone(),
         certificate: side.tls.certificate.clone(),
         key: side.tls.key.clone(),
@@ -380,11 +380,11 @@
         let lines = self.state.history.after(next).into_iter();
         let own = self.state.config.next();
         let lacking = self.state.history.lacks(next, own) && self.state.config.complete();
-        let answer = fellow::Answer {
+        let answer = peer::Answer {
             hello: self.hello(),
             snapshot: lacking.then(|| self.state.config.snapshot()),
             lines: lines
-                .map(|(offset, data)| fellow::Line {
+                .map(|(offset, data)| peer::Line {
                     data: data.to_vec(),
                     offset,
                 })
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -12,7 +12,7 @@
         snapshot::Snapshot,
     },
     endpoint::{engine, service, tell},
-    fellow::Answer,
+    peer::Answer,
     streamlog::stream::{self, Stream},
 };
 
--- a/crates/carawayhead/src/error.rs
+++ b/crates/carawayhead/src/error.rs
@@ -16,7 +16,7 @@
     /// An instance that forwards cannot run.
     Forward(proxy::Error),
     /// The messages between instances could not be set up.
-    Fellow(fellow::Error),
+    Fellow(peer::Error),
     /// The platform could not be asked.
     Platform(streamlog::Error),
     /// A publication lost against another record.
@@ -61,8 +61,8 @@
     }
 }
 
-impl From<fellow::Error> for Error {
-    fn from(error: fellow::Error) -> Self {
+impl From<peer::Error> for Error {
+    fn from(error: peer::Error) -> Self {
         Self::Fellow(error)
     }
 }
--- a/crates/fellow/tests/datagrams.rs
+++ b/crates/peer/tests/datagrams.rs
@@ -2,7 +2,7 @@
 
 use {
     bytes::Bytes,
-    fellow::{
+    peer::{
         datagram::Datagrams,
         pinned::{Identity, Pins, configs},
     },
--- a/crates/fellow/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: decoding, and who is let in.
 
 use {
-    fellow::{Answer, Hello, Line},
+    peer::{Answer, Hello, Line},
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
 };
 
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{clock, prelude::*, settings::Instance},
-    fellow::{datagram::Datagrams, pinned::Fingerprint},
     forward::reader::Readers,
+    peer::{datagram::Datagrams, pinned::Fingerprint},
     platform::instance::Entry,
 };
 
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -8,11 +8,11 @@
         prelude::*,
         topic,
     },
-    fellow::datagram::Datagrams,
     forward::{
         aggregate::{domains::Part, members::Role, table::Changes, view},
         reader::{Mark, TOPICS, Word},
     },
+    peer::datagram::Datagrams,
     tokio::sync::mpsc,
 };
 
--- a/crates/proxy/src/gossip/links.rs
+++ b/crates/proxy/src/gossip/links.rs
@@ -3,11 +3,11 @@
 use {
     super::role,
     crate::{clock, prelude::*},
-    fellow::{
+    forward::aggregate::members::Role,
+    peer::{
         datagram::{Datagrams, Side},
         pinned::Pins,
     },
-    forward::aggregate::members::Role,
 };
 
 /// Pause before a fellow that could not be reached is tried again.
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -17,11 +17,11 @@
 
 use {
     crate::prelude::*,
-    fellow::{
+    forward::aggregate::members::Role,
+    peer::{
         datagram::Datagrams,
         pinned::{self, Identity, Pins},
     },
-    forward::aggregate::members::Role,
     platform::instance::Entry,
     tokio::sync::mpsc,
 };
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/tell.rs
@@ -8,12 +8,12 @@
         prelude::*,
         topic,
     },
-    fellow::datagram::Datagrams,
     forward::{
         aggregate::members::{Link, Role},
         load::{self, digest},
         reader::TOPICS,
     },
+    peer::datagram::Datagrams,
 };
 
 /// Shortest pause between two reports. A request is placed on what the others reported
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -12,7 +12,6 @@
         topic::{self, Progress},
     },
     endpoint::Client,
-    fellow::datagram::Datagrams,
     forward::{
         State,
         aggregate::{
@@ -24,6 +23,7 @@
         request::Ticket,
         state::Place,
     },
+    peer::datagram::Datagrams,
     platform::{Store, store::Topic},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
     tokio::sync::Notify,
