--- a/crates/carawayhead/src/command/forward.rs
+++ b/crates/carawayhead/src/command/forward.rs
@@ -9,6 +9,6 @@
 /// The settings have faults, or an address cannot be bound.
 pub fn run(file: &str) -> Result<(), Error> {
     let settings = proxy::Settings::load(file)?;
-    proxy::journal::start(log::LevelFilter::Info, &settings.instance.name);
+    proxy::logging::start(log::LevelFilter::Info, &settings.instance.name);
     super::block(async { Ok(proxy::run(file, settings).await?) })
 }
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -14,7 +14,7 @@
         Gate,
         server::{self, Pem},
     },
-    peer::{Asked, Hello, Link},
+    peer::{Hello, IncomingRequest, RequestSocket},
     std::net::SocketAddr,
     streamlog::stream::Stream,
     tokio::{sync::oneshot, time::MissedTickBehavior},
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Instance {
     pub(super) actions: Vec<Action>,
-    asked: Receiver<Asked>,
+    asked: Receiver<IncomingRequest>,
     pub(super) claims: Stream,
     pub(super) snapshots: Stream,
     pub(super) client: Client,
@@ -73,7 +73,7 @@
     pub(super) exchanges: SecondaryMap<request::Key, Exchange>,
     inbox: Receiver<Event>,
     inbound: Receiver<Inbound>,
-    pub(super) link: Option<Link>,
+    pub(super) link: Option<RequestSocket>,
     longest_turn: Duration,
     ready: Arc<AtomicBool>,
     shared: Shared,
@@ -112,7 +112,7 @@
     .await?;
     let (questions, asked) = mpsc::channel(QUEUE);
     let link = link(&settings, questions)?;
-    let fellow = link.as_ref().map(Link::address).transpose()?;
+    let fellow = link.as_ref().map(RequestSocket::address).transpose()?;
     follow(&settings, &client, clock, &events);
     let seed = rand::random();
     let instance = Instance {
@@ -182,7 +182,10 @@
     ));
 }
 
-fn link(settings: &Settings, questions: Sender<Asked>) -> Result<Option<Link>, Error> {
+fn link(
+    settings: &Settings,
+    questions: Sender<IncomingRequest>,
+) -> Result<Option<RequestSocket>, Error> {
     let Some(side) = &settings.fellow else {
         return Ok(None);
     };
@@ -195,7 +198,7 @@
         .listen
         .parse()
         .map_err(|_checked| Error::Listen(side.listen.clone(), "not an address".to_string()))?;
-    Ok(Some(Link::listen(listen, configs, questions)?))
+    Ok(Some(RequestSocket::listen(listen, configs, questions)?))
 }
 
 fn pem(settings: &Settings) -> Result<Option<Pem>, Error> {
@@ -374,7 +377,7 @@
     }
 
     /// Answers a fellow instance with the records it lacks.
-    fn answer(&self, asked: Asked) {
+    fn answer(&self, asked: IncomingRequest) {
         lock(&self.timeline).receive(self.clock.wall(), asked.hello.stamp);
         let next = asked.hello.next;
         let lines = self.state.history.after(next).into_iter();
@@ -383,8 +386,8 @@
         let answer = peer::Answer {
             hello: self.hello(),
             snapshot: lacking.then(|| self.state.config.snapshot()),
-            lines: lines
-                .map(|(offset, data)| peer::Line {
+            records: lines
+                .map(|(offset, data)| peer::Record {
                     data: data.to_vec(),
                     offset,
                 })
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -301,7 +301,7 @@
 const MOST_DETAIL: usize = 160;
 
 fn heard(asked: Time, answer: Answer) -> Heard {
-    let lines = answer.lines.into_iter();
+    let lines = answer.records.into_iter();
     Heard {
         asked,
         known: Known {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -2,15 +2,15 @@
 
 pub mod datagram;
 pub mod error;
-pub mod link;
 pub mod message;
 pub mod pinned;
 pub mod prelude;
+pub mod request;
 pub mod tls;
 
 pub use {
     error::Error,
-    link::{Asked, Link},
-    message::{Answer, Hello, Line},
+    message::{Answer, Hello, Record},
+    request::{IncomingRequest, RequestSocket},
     tls::PEER_NAME,
 };
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -23,7 +23,7 @@
 
 /// A configuration record as it stands in the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Line {
+pub struct Record {
     /// Content.
     pub data: Vec<u8>,
     /// Offset.
@@ -36,7 +36,7 @@
     /// What the answering instance knows.
     pub hello: Hello,
     /// Records that the other one lacks, in order, as many as fit.
-    pub lines: Vec<Line>,
+    pub records: Vec<Record>,
     /// The whole configuration, if those records are not kept any more.
     pub snapshot: Option<Snapshot>,
 }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/request.rs
@@ -7,7 +7,7 @@
 
 /// A question of a fellow instance, waiting for the loop's answer.
 #[derive(Debug)]
-pub struct Asked {
+pub struct IncomingRequest {
     /// What the other instance knows.
     pub hello: Hello,
     /// Takes the answer.
@@ -19,12 +19,12 @@
 
 /// The socket, with its open connections; clones share it.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct RequestSocket {
     endpoint: Endpoint,
     open: Arc<Mutex<Open>>,
 }
 
-impl Link {
+impl RequestSocket {
     /// Listens at an address; questions of other instances go to `asked`.
     ///
     /// # Errors
@@ -33,7 +33,7 @@
     pub fn listen(
         listen: SocketAddr,
         configs: tls::Configs,
-        asked: Sender<Asked>,
+        asked: Sender<IncomingRequest>,
     ) -> Result<Self, Error> {
         let mut endpoint = Endpoint::server(configs.server, listen)?;
         endpoint.set_default_client_config(configs.client);
@@ -120,7 +120,7 @@
     Ok(postcard::from_bytes(&answer)?)
 }
 
-async fn accept(endpoint: Endpoint, asked: Sender<Asked>) {
+async fn accept(endpoint: Endpoint, asked: Sender<IncomingRequest>) {
     while let Some(incoming) = endpoint.accept().await {
         let asked = asked.clone();
         tokio::spawn(async move {
@@ -131,14 +131,14 @@
     }
 }
 
-async fn serve(incoming: quinn::Incoming, asked: Sender<Asked>) -> Result<(), Error> {
+async fn serve(incoming: quinn::Incoming, asked: Sender<IncomingRequest>) -> Result<(), Error> {
     let connection = incoming.await.map_err(connection_error)?;
     loop {
         let (mut send, mut receive) = connection.accept_bi().await.map_err(connection_error)?;
         let question = receive.read_to_end(MOST).await.map_err(connection_error)?;
         let hello = postcard::from_bytes::<Hello>(&question)?;
         let (reply, answer) = oneshot::channel();
-        if asked.send(Asked { hello, reply }).await.is_err() {
+        if asked.send(IncomingRequest { hello, reply }).await.is_err() {
             return Ok(());
         }
         let Ok(answer) = answer.await else {
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: decoding, and who is let in.
 
 use {
-    peer::{Answer, Hello, Line},
+    peer::{Answer, Hello, Record},
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
 };
 
@@ -30,7 +30,7 @@
     fn an_answer_comes_back(data in vec(any::<u8>(), 0..600), offset in any::<u64>()) {
         let answer = Answer {
             hello: Hello::default(),
-            lines: vec![Line { data, offset }],
+            records: vec![Record { data, offset }],
             snapshot: None,
         };
         let encoded = postcard::to_stdvec(&answer).expect("it can be encoded");
--- a/crates/proxy/src/meters.rs
+++ b/crates/proxy/src/meters.rs
@@ -1,7 +1,7 @@
 //! Counters and latency histograms, in Prometheus text.
 
 use {
-    crate::{journal, prelude::*},
+    crate::{logging, prelude::*},
     opentelemetry::{
         KeyValue,
         metrics::{Counter, Histogram, MeterProvider as _},
@@ -53,7 +53,7 @@
         meter
             .u64_observable_counter("log_lines_dropped")
             .with_description("log lines dropped because standard output was not read")
-            .with_callback(|observer| observer.observe(journal::dropped(), &[]))
+            .with_callback(|observer| observer.observe(logging::dropped(), &[]))
             .build();
         Ok(Self {
             endings: counter("requests_ended", "requests by route and outcome"),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -2,8 +2,9 @@
 
 use {
     crate::{
-        clock, follow, gossip, inquire, journal,
+        clock, follow, gossip, inquire,
         listen::{self, Role},
+        logging,
         prelude::*,
         settings::Settings,
     },
@@ -120,7 +121,7 @@
     // What comes from now on would be cut off with the process.
     shared.state.borrow_mut().stop(clock::now());
     log::info!(
-        in_progress = shared.in_progress.get(), dropped_lines = journal::dropped(),
+        in_progress = shared.in_progress.get(), dropped_lines = logging::dropped(),
         ms = clock::now().since(began).as_millis(); "stopped"
     );
     // The thread that writes the log takes a moment for the last line.
