--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -1,51 +1,50 @@
-//! Datagrams between instances: reports that may be lost, since a newer one follows; and
-//! streams for what must arrive whole.
+//! QUIC connections between instances: datagrams for reports, where a lost one is superseded
+//! by the next, and streams for data that must arrive.
 //!
-//! Two instances share one connection, whichever of them opened it: one for each direction
-//! would take twice the handshakes at a start and twice the memory.
+//! Two instances share one connection, whichever of them opened it, to save handshakes and
+//! memory.
 
 use {
-    crate::{message::MOST, prelude::*},
+    crate::{message::MAX_MESSAGE_BYTES, prelude::*},
     bytes::Bytes,
 };
 
-/// How long a connection may take to open.
-const CONNECT: Duration = Duration::from_millis(800);
+/// Limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Code with which a connection is closed that is no longer used.
-const REPLACED: quinn::VarInt = quinn::VarInt::from_u32(0);
+/// Application error code for closing a connection that is no longer used.
+const CLOSE_CODE: quinn::VarInt = quinn::VarInt::from_u32(0);
 
-/// A connection to a fellow.
+/// A connection to a peer.
 #[derive(Debug)]
-struct Opened {
+struct PeerConnection {
     address: SocketAddr,
     connection: Connection,
-    /// Which of the two instances opened it.
-    side: Side,
+    initiator: Initiator,
 }
 
-/// Which of two instances opened their connection.
+/// Which of the two instances opened a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Side {
-    /// The fellow.
-    Other,
+pub enum Initiator {
+    /// The peer.
+    Remote,
     /// This instance.
-    Own,
+    Local,
 }
 
-/// Connections to fellows, sorted by address.
-type Open = Vec<Opened>;
+/// Connections to peers, sorted by address.
+type Connections = Vec<PeerConnection>;
 
-/// The socket; clones share it.
+/// A QUIC socket with its open connections; clones share it.
 #[derive(Clone, Debug)]
-pub struct Datagrams {
+pub struct DatagramSocket {
     endpoint: Endpoint,
-    heard: Sender<Bytes>,
-    open: Arc<Mutex<Open>>,
+    received: Sender<Bytes>,
+    open: Arc<Mutex<Connections>>,
 }
 
-impl Datagrams {
-    /// Listens at an address; datagrams of fellows go to `heard`.
+impl DatagramSocket {
+    /// Listens on an address; data from peers goes to `received`.
     ///
     /// # Errors
     ///
@@ -53,35 +52,35 @@
     pub fn listen(
         listen: SocketAddr,
         configs: tls::Configs,
-        heard: Sender<Bytes>,
+        received: Sender<Bytes>,
     ) -> Result<Self, Error> {
         let mut endpoint = Endpoint::server(configs.server, listen)?;
         endpoint.set_default_client_config(configs.client);
         let datagrams = Self {
             endpoint,
-            heard,
+            received,
             open: Arc::default(),
         };
         tokio::spawn(accept(datagrams.clone()));
         Ok(datagrams)
     }
 
-    /// Where it listens.
+    /// The local address.
     ///
     /// # Errors
     ///
-    /// The socket is gone.
+    /// The operating system does not report it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         Ok(self.endpoint.local_addr()?)
     }
 
-    /// Opens a connection unless one is open; it is kept until it fails.
+    /// Opens a connection unless one is open already.
     ///
     /// # Errors
     ///
-    /// The fellow cannot be reached, or its certificate is not known.
+    /// The peer cannot be reached within 800 ms, or its certificate is not accepted.
     pub async fn connect(&self, address: SocketAddr) -> Result<(), Error> {
-        if self.known(address).is_some() {
+        if self.existing(address).is_some() {
             return Ok(());
         }
         let failed = |error: &dyn Display| Error::Connection(error.to_string());
@@ -89,50 +88,51 @@
             .endpoint
             .connect(address, tls::PEER_NAME)
             .map_err(|error| failed(&error))?;
-        let connection = timeout(CONNECT, connecting)
+        let connection = timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_elapsed| Error::Silent)?
+            .map_err(|_elapsed| Error::NoResponse)?
             .map_err(|error| failed(&error))?;
-        self.keep(address, connection, Side::Own);
+        self.register(address, connection, Initiator::Local);
         Ok(())
     }
 
-    /// Uses a connection to a fellow from now on, in place of one from before.
-    fn keep(&self, address: SocketAddr, connection: Connection, side: Side) {
-        tokio::spawn(read(connection.clone(), self.heard.clone()));
-        let opened = Opened {
+    /// Stores a connection and reads from it; closes the one that it replaces, if any.
+    fn register(&self, address: SocketAddr, connection: Connection, initiator: Initiator) {
+        tokio::spawn(read(connection.clone(), self.received.clone()));
+        let entry = PeerConnection {
             address,
             connection,
-            side,
+            initiator,
         };
         let mut open = self.lock();
         match open.binary_search_by_key(&address, |other| other.address) {
-            Ok(place) => {
-                let before = std::mem::replace(&mut open[place], opened);
-                before.connection.close(REPLACED, b"replaced");
+            Ok(index) => {
+                let replaced = std::mem::replace(&mut open[index], entry);
+                replaced.connection.close(CLOSE_CODE, b"replaced");
             }
-            Err(place) => open.insert(place, opened),
+            Err(index) => open.insert(index, entry),
         }
     }
 
-    /// Sends a datagram, if a connection is open.
+    /// Sends a datagram over an open connection.
     ///
     /// # Errors
     ///
     /// No connection is open, or the datagram is too large for it.
     pub fn send(&self, address: SocketAddr, data: Bytes) -> Result<(), Error> {
-        let connection = self.known(address).ok_or(Error::Silent)?;
+        let connection = self.existing(address).ok_or(Error::NoResponse)?;
         let sent = connection.send_datagram(data);
         sent.map_err(|error| Error::Connection(error.to_string()))
     }
 
-    /// Sends data that must not be lost, of any size, in the background.
+    /// Sends data of any size on a stream of its own, in the background. A failure is only
+    /// logged.
     ///
     /// # Errors
     ///
     /// No connection is open.
-    pub fn send_whole(&self, address: SocketAddr, data: Bytes) -> Result<(), Error> {
-        let connection = self.known(address).ok_or(Error::Silent)?;
+    pub fn send_reliable(&self, address: SocketAddr, data: Bytes) -> Result<(), Error> {
+        let connection = self.existing(address).ok_or(Error::NoResponse)?;
         tokio::spawn(async move {
             let sent = async {
                 let mut stream = connection.open_uni().await?;
@@ -141,90 +141,90 @@
                 Ok::<_, Box<dyn std::error::Error + Send + Sync>>(())
             };
             if let Err(error) = sent.await {
-                log::debug!(address:%, error:%; "data for a fellow instance not sent");
+                log::debug!(address:%, error:%; "cannot send data to peer instance");
             }
         });
         Ok(())
     }
 
-    /// Closes connections but for those to keep, by address and side, and forgets those
-    /// that have failed.
-    pub fn retain(&self, keep: impl Fn(SocketAddr, Side) -> bool) {
-        self.lock().retain(|opened| {
-            let is_open = opened.connection.close_reason().is_none();
-            let kept = is_open && keep(opened.address, opened.side);
-            if is_open && !kept {
-                opened.connection.close(REPLACED, b"not wanted");
+    /// Closes all connections for which `keep` returns false, and drops those that have
+    /// failed.
+    pub fn retain(&self, keep: impl Fn(SocketAddr, Initiator) -> bool) {
+        self.lock().retain(|entry| {
+            let is_open = entry.connection.close_reason().is_none();
+            let keep_open = is_open && keep(entry.address, entry.initiator);
+            if is_open && !keep_open {
+                entry.connection.close(CLOSE_CODE, b"not wanted");
             }
-            kept
+            keep_open
         });
     }
 
-    /// Closes the connection to a fellow, so that the next one is opened anew.
+    /// Closes the connection to a peer.
     pub fn close(&self, address: SocketAddr) {
         self.retain(|other, _| other != address);
     }
 
-    /// Whether a connection to a fellow is open.
+    /// Whether a connection to a peer is open.
     #[must_use]
     pub fn is_open(&self, address: SocketAddr) -> bool {
-        self.known(address).is_some()
+        self.existing(address).is_some()
     }
 
-    fn known(&self, address: SocketAddr) -> Option<Connection> {
+    fn existing(&self, address: SocketAddr) -> Option<Connection> {
         let mut open = self.lock();
-        let place = open
-            .binary_search_by_key(&address, |opened| opened.address)
+        let index = open
+            .binary_search_by_key(&address, |entry| entry.address)
             .ok()?;
-        if open[place].connection.close_reason().is_some() {
-            open.remove(place);
+        if open[index].connection.close_reason().is_some() {
+            open.remove(index);
             return None;
         }
-        Some(open[place].connection.clone())
+        Some(open[index].connection.clone())
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Open> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Connections> {
         self.open
             .lock()
             .expect("the connections are never poisoned")
     }
 }
 
-async fn accept(datagrams: Datagrams) {
+async fn accept(datagrams: DatagramSocket) {
     while let Some(incoming) = datagrams.endpoint.accept().await {
         let datagrams = datagrams.clone();
         tokio::spawn(async move {
             match incoming.await {
-                // A fellow sends from the address that it listens at.
+                // Peers connect from the address on which they listen.
                 Ok(connection) => {
-                    datagrams.keep(connection.remote_address(), connection, Side::Other);
+                    datagrams.register(connection.remote_address(), connection, Initiator::Remote);
                 }
-                Err(error) => log::debug!(error:%; "fellow instance not let in"),
+                Err(error) => log::debug!(error:%; "handshake with peer instance failed"),
             }
         });
     }
 }
 
-/// Hands on what comes on a connection, until it ends.
-async fn read(connection: Connection, heard: Sender<Bytes>) {
-    let streams = tokio::spawn(read_streams(connection.clone(), heard.clone()));
+/// Forwards datagrams and streams of a connection to `received` until it closes.
+async fn read(connection: Connection, received: Sender<Bytes>) {
+    let streams = tokio::spawn(read_streams(connection.clone(), received.clone()));
     while let Ok(data) = connection.read_datagram().await {
-        if heard.send(data).await.is_err() {
+        if received.send(data).await.is_err() {
             break;
         }
     }
     streams.abort();
 }
 
-async fn read_streams(connection: Connection, heard: Sender<Bytes>) {
+async fn read_streams(connection: Connection, received: Sender<Bytes>) {
     while let Ok(mut stream) = connection.accept_uni().await {
-        match stream.read_to_end(MOST).await {
+        match stream.read_to_end(MAX_MESSAGE_BYTES).await {
             Ok(data) => {
-                if heard.send(data.into()).await.is_err() {
+                if received.send(data.into()).await.is_err() {
                     return;
                 }
             }
-            Err(error) => log::debug!(error:%; "data of a fellow instance not read"),
+            Err(error) => log::debug!(error:%; "cannot read data from peer instance"),
         }
     }
 }
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -2,19 +2,19 @@
 
 use crate::prelude::*;
 
-/// Why instances cannot talk.
+/// Errors of connections and messages between instances.
 #[derive(Debug)]
 pub enum Error {
-    /// A certificate or key cannot be used: the file and the cause.
+    /// A certificate or key cannot be used: its file or name, and the cause.
     Certificate(String, String),
-    /// A message cannot be decoded, or is not what was expected.
+    /// A message cannot be encoded or decoded.
     Codec(postcard::Error),
     /// The connection failed.
     Connection(String),
     /// The socket cannot be bound.
     Io(std::io::Error),
-    /// No answer came in time.
-    Silent,
+    /// The peer did not respond in time, or no connection to it is open.
+    NoResponse,
 }
 
 impl Display for Error {
@@ -22,9 +22,12 @@
         match self {
             Self::Certificate(file, error) => write!(f, "{file}: {error}"),
             Self::Codec(error) => write!(f, "message cannot be decoded: {error}"),
-            Self::Connection(error) => write!(f, "connection to a fellow instance: {error}"),
-            Self::Io(error) => write!(f, "cannot listen for fellow instances: {error}"),
-            Self::Silent => write!(f, "a fellow instance gave no answer in time"),
+            Self::Connection(error) => write!(f, "connection to peer instance: {error}"),
+            Self::Io(error) => write!(f, "cannot listen for peer instances: {error}"),
+            Self::NoResponse => write!(
+                f,
+                "peer instance did not respond in time or is not connected"
+            ),
         }
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between entry instances over QUIC, with certificates on both sides.
+//! Messages between instances over QUIC with mutual TLS.
 
 pub mod datagram;
 pub mod error;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other.
+//! Messages between instances.
 
 use {
     crate::prelude::*,
@@ -6,9 +6,9 @@
 };
 
 /// Largest message, in bytes.
-pub const MOST: usize = 16 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// What an instance knows, sent to ask for what it lacks.
+/// An instance's progress in the configuration log; sent to request the records that it lacks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
     /// Milliseconds since the sender's configuration was known to be complete.
@@ -33,10 +33,10 @@
 /// The answer to a [`Hello`].
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Answer {
-    /// What the answering instance knows.
+    /// Progress of the answering instance.
     pub hello: Hello,
-    /// Records that the other one lacks, in order, as many as fit.
+    /// Records that the requester lacks, in order, as many as fit.
     pub records: Vec<Record>,
-    /// The whole configuration, if those records are not kept any more.
+    /// The whole configuration, if some of those records are no longer retained.
     pub snapshot: Option<Snapshot>,
 }
--- a/crates/peer/src/pinned.rs
+++ b/crates/peer/src/pinned.rs
@@ -1,8 +1,8 @@
-//! Mutual TLS between instances that know each other's certificates by fingerprint.
+//! Mutual TLS with certificates pinned by fingerprint.
 //!
-//! Where no keys can be handed out, each instance makes a certificate at its start and
-//! publishes its fingerprint with its address in a store that only instances can write
-//! to. A connection counts only if both ends show a certificate that is published.
+//! Where no keys can be distributed, each instance generates a certificate at startup and
+//! publishes its fingerprint with its address in a store that only instances can write to.
+//! A connection is accepted only if both ends present a published certificate.
 
 use {
     crate::{prelude::*, tls::Configs},
@@ -19,27 +19,27 @@
 /// BLAKE3 hash of a certificate.
 pub type Fingerprint = [u8; 32];
 
-/// A certificate that lives as long as the process.
+/// A self-signed certificate for the lifetime of the process.
 #[derive(Debug)]
 pub struct Identity {
     certificate: CertificateDer<'static>,
-    /// What others know it by.
+    /// Fingerprint under which peers accept it.
     pub fingerprint: Fingerprint,
     key: PrivatePkcs8KeyDer<'static>,
 }
 
 impl Identity {
-    /// Makes a certificate.
+    /// Generates a key and a certificate.
     ///
     /// # Errors
     ///
-    /// It cannot be made.
+    /// The certificate cannot be generated.
     pub fn new() -> Result<Self, Error> {
-        let fault = |error: rcgen::Error| {
+        let certificate_error = |error: rcgen::Error| {
             Error::Certificate("own certificate".to_string(), error.to_string())
         };
         let names = vec![tls::PEER_NAME.to_string()];
-        let made = rcgen::generate_simple_self_signed(names).map_err(fault)?;
+        let made = rcgen::generate_simple_self_signed(names).map_err(certificate_error)?;
         let certificate = made.cert.der().clone();
         Ok(Self {
             fingerprint: *blake3::hash(&certificate).as_bytes(),
@@ -49,29 +49,29 @@
     }
 }
 
-/// Fingerprints of the certificates that count, sorted; clones share them.
+/// Fingerprints of the accepted certificates, sorted; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Pins(Arc<Mutex<Vec<Fingerprint>>>);
 
 impl Pins {
-    /// Replaces them all.
+    /// Replaces all fingerprints.
     ///
     /// # Panics
     ///
-    /// Another holder panicked while it changed them.
+    /// The lock is poisoned.
     pub fn set(&self, mut pins: Vec<Fingerprint>) {
         pins.sort_unstable();
         *self.0.lock().expect("the pins are never poisoned") = pins;
     }
 
-    fn hold(&self, certificate: &CertificateDer) -> bool {
+    fn contains(&self, certificate: &CertificateDer) -> bool {
         let fingerprint = *blake3::hash(certificate).as_bytes();
         let pins = self.0.lock().expect("the pins are never poisoned");
         pins.binary_search(&fingerprint).is_ok()
     }
 }
 
-/// Configurations of both directions.
+/// QUIC configurations for outgoing and incoming connections.
 ///
 /// # Errors
 ///
@@ -82,25 +82,25 @@
         pins: pins.clone(),
         provider: Arc::clone(&provider),
     });
-    let fault =
+    let certificate_error =
         |error: &dyn Display| Error::Certificate("own certificate".to_string(), error.to_string());
     let chain = vec![identity.certificate.clone()];
     let key = || PrivateKeyDer::from(identity.key.clone_key());
     let server = rustls::ServerConfig::builder_with_provider(Arc::clone(&provider))
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|error| fault(&error))?
+        .map_err(|error| certificate_error(&error))?
         .with_client_cert_verifier(Arc::clone(&verifier) as Arc<dyn ClientCertVerifier>)
         .with_single_cert(chain.clone(), key())
-        .map_err(|error| fault(&error))?;
+        .map_err(|error| certificate_error(&error))?;
     let client = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|error| fault(&error))?
+        .map_err(|error| certificate_error(&error))?
         .dangerous()
         .with_custom_certificate_verifier(verifier)
         .with_client_auth_cert(chain, key())
-        .map_err(|error| fault(&error))?;
-    let server = QuicServerConfig::try_from(server).map_err(|error| fault(&error))?;
-    let client = QuicClientConfig::try_from(client).map_err(|error| fault(&error))?;
+        .map_err(|error| certificate_error(&error))?;
+    let server = QuicServerConfig::try_from(server).map_err(|error| certificate_error(&error))?;
+    let client = QuicClientConfig::try_from(client).map_err(|error| certificate_error(&error))?;
     let mut server = quinn::ServerConfig::with_crypto(Arc::new(server));
     let mut client = quinn::ClientConfig::new(Arc::new(client));
     server.transport_config(tls::transport());
@@ -108,7 +108,7 @@
     Ok(Configs { client, server })
 }
 
-/// Accepts certificates by fingerprint, and checks that the other side has the key.
+/// Accepts certificates by fingerprint; signatures prove that the other side has the key.
 #[derive(Debug)]
 struct Verifier {
     pins: Pins,
@@ -117,7 +117,7 @@
 
 impl Verifier {
     fn check(&self, certificate: &CertificateDer) -> Result<(), rustls::Error> {
-        if self.pins.hold(certificate) {
+        if self.pins.contains(certificate) {
             return Ok(());
         }
         let unknown = CertificateError::ApplicationVerificationFailure;
--- a/crates/peer/src/request.rs
+++ b/crates/peer/src/request.rs
@@ -1,31 +1,31 @@
-//! The socket between instances.
+//! Requests between instances over QUIC streams.
 
-use crate::{message::MOST, prelude::*};
+use crate::{message::MAX_MESSAGE_BYTES, prelude::*};
 
-/// How long an exchange may take, the opening of a connection included.
-const WAIT: Duration = Duration::from_secs(1);
+/// Limit for a request and its answer, the opening of a connection included.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A question of a fellow instance, waiting for the loop's answer.
+/// A request from a peer that waits for an answer.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// What the other instance knows.
+    /// Progress of the peer.
     pub hello: Hello,
-    /// Takes the answer.
+    /// Channel for the answer.
     pub reply: oneshot::Sender<Answer>,
 }
 
 /// Open connections, sorted by address.
-type Open = Vec<(SocketAddr, Connection)>;
+type Connections = Vec<(SocketAddr, Connection)>;
 
-/// The socket, with its open connections; clones share it.
+/// A QUIC socket with its open connections; clones share it.
 #[derive(Clone, Debug)]
 pub struct RequestSocket {
     endpoint: Endpoint,
-    open: Arc<Mutex<Open>>,
+    open: Arc<Mutex<Connections>>,
 }
 
 impl RequestSocket {
-    /// Listens at an address; questions of other instances go to `asked`.
+    /// Listens on an address; requests from peers go to `requests`.
     ///
     /// # Errors
     ///
@@ -33,47 +33,49 @@
     pub fn listen(
         listen: SocketAddr,
         configs: tls::Configs,
-        asked: Sender<IncomingRequest>,
+        requests: Sender<IncomingRequest>,
     ) -> Result<Self, Error> {
         let mut endpoint = Endpoint::server(configs.server, listen)?;
         endpoint.set_default_client_config(configs.client);
-        tokio::spawn(accept(endpoint.clone(), asked));
+        tokio::spawn(accept(endpoint.clone(), requests));
         Ok(Self {
             endpoint,
             open: Arc::new(Mutex::new(Vec::new())),
         })
     }
 
-    /// Where it listens.
+    /// The local address.
     ///
     /// # Errors
     ///
-    /// The socket is gone.
+    /// The operating system does not report it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         Ok(self.endpoint.local_addr()?)
     }
 
-    /// Tells another instance what this one knows, and hears what it knows.
+    /// Sends a peer this instance's progress, and returns its answer.
     ///
     /// # Errors
     ///
-    /// It cannot be reached, or does not answer in time.
+    /// The peer cannot be reached, or does not answer within one second.
     pub async fn exchange(&self, address: SocketAddr, hello: &Hello) -> Result<Answer, Error> {
         let exchanged = async {
             let connection = self.connection(address).await?;
             exchange(&connection, hello).await
         };
-        let result = timeout(WAIT, exchanged).await.unwrap_or(Err(Error::Silent));
+        let result = timeout(EXCHANGE_TIMEOUT, exchanged)
+            .await
+            .unwrap_or(Err(Error::NoResponse));
         if result.is_err() {
-            // A connection can go silent for good while new ones work, so the next
-            // exchange opens another one.
+            // A connection can stall for good while new ones work, so the next request
+            // opens another one.
             self.forget(address);
         }
         result
     }
 
     async fn connection(&self, address: SocketAddr) -> Result<Connection, Error> {
-        if let Some(connection) = self.known(address) {
+        if let Some(connection) = self.existing(address) {
             return Ok(connection);
         }
         let connecting = self
@@ -85,8 +87,8 @@
             .open
             .lock()
             .expect("the connections are never poisoned");
-        let place = open.partition_point(|(other, _)| *other < address);
-        open.insert(place, (address, connection.clone()));
+        let index = open.partition_point(|(other, _)| *other < address);
+        open.insert(index, (address, connection.clone()));
         Ok(connection)
     }
 
@@ -98,16 +100,16 @@
         open.retain(|(other, _)| *other != address);
     }
 
-    fn known(&self, address: SocketAddr) -> Option<Connection> {
+    fn existing(&self, address: SocketAddr) -> Option<Connection> {
         let mut open = self
             .open
             .lock()
             .expect("the connections are never poisoned");
         open.retain(|(_, connection)| connection.close_reason().is_none());
-        let place = open
+        let index = open
             .binary_search_by_key(&address, |(other, _)| *other)
             .ok()?;
-        Some(open[place].1.clone())
+        Some(open[index].1.clone())
     }
 }
 
@@ -116,29 +118,39 @@
     let message = postcard::to_stdvec(hello)?;
     send.write_all(&message).await.map_err(connection_error)?;
     send.finish().map_err(connection_error)?;
-    let answer = receive.read_to_end(MOST).await.map_err(connection_error)?;
+    let answer = receive
+        .read_to_end(MAX_MESSAGE_BYTES)
+        .await
+        .map_err(connection_error)?;
     Ok(postcard::from_bytes(&answer)?)
 }
 
-async fn accept(endpoint: Endpoint, asked: Sender<IncomingRequest>) {
+async fn accept(endpoint: Endpoint, requests: Sender<IncomingRequest>) {
     while let Some(incoming) = endpoint.accept().await {
-        let asked = asked.clone();
+        let requests = requests.clone();
         tokio::spawn(async move {
-            if let Err(error) = serve(incoming, asked).await {
-                log::debug!(error:%; "connection of a fellow instance ended");
+            if let Err(error) = serve(incoming, requests).await {
+                log::debug!(error:%; "connection from peer instance closed");
             }
         });
     }
 }
 
-async fn serve(incoming: quinn::Incoming, asked: Sender<IncomingRequest>) -> Result<(), Error> {
+async fn serve(incoming: quinn::Incoming, requests: Sender<IncomingRequest>) -> Result<(), Error> {
     let connection = incoming.await.map_err(connection_error)?;
     loop {
         let (mut send, mut receive) = connection.accept_bi().await.map_err(connection_error)?;
-        let question = receive.read_to_end(MOST).await.map_err(connection_error)?;
-        let hello = postcard::from_bytes::<Hello>(&question)?;
+        let request = receive
+            .read_to_end(MAX_MESSAGE_BYTES)
+            .await
+            .map_err(connection_error)?;
+        let hello = postcard::from_bytes::<Hello>(&request)?;
         let (reply, answer) = oneshot::channel();
-        if asked.send(IncomingRequest { hello, reply }).await.is_err() {
+        if requests
+            .send(IncomingRequest { hello, reply })
+            .await
+            .is_err()
+        {
             return Ok(());
         }
         let Ok(answer) = answer.await else {
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -12,14 +12,14 @@
 
 /// Name in the certificate of every instance.
 ///
-/// Instances come and go with their addresses, so a certificate says only that
-/// its holder is an instance of this system; the authority signs nothing else.
+/// Addresses of instances change, so a certificate only proves that its holder is an
+/// instance of this system; the authority signs nothing else.
 pub const PEER_NAME: &str = "carawayhead";
 
-/// Idle time after which a connection is dropped; several exchanges fit into it.
-const IDLE: Duration = Duration::from_secs(10);
+/// Idle time after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// PEM files of an instance.
+/// Paths of an instance's PEM files.
 #[derive(Clone, Debug)]
 pub struct Files {
     /// The authority that signs every instance's certificate.
@@ -30,12 +30,12 @@
     pub key: String,
 }
 
-/// Configurations of both directions.
+/// QUIC configurations for both directions.
 #[derive(Debug)]
 pub struct Configs {
-    /// For connections that this instance opens.
+    /// For outgoing connections.
     pub client: quinn::ClientConfig,
-    /// For connections that it accepts.
+    /// For incoming connections.
     pub server: quinn::ServerConfig,
 }
 
@@ -43,31 +43,33 @@
 ///
 /// # Errors
 ///
-/// A file cannot be read, or holds nothing that can be used.
+/// A file cannot be read, or contains no usable certificate or key.
 pub fn configs(files: &Files) -> Result<Configs, Error> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let roots = Arc::new(roots(&files.authority)?);
     let chain = chain(&files.certificate)?;
-    let key =
-        PrivateKeyDer::from_pem_file(&files.key).map_err(|error| fault(&files.key, &error))?;
+    let key = PrivateKeyDer::from_pem_file(&files.key)
+        .map_err(|error| certificate_error(&files.key, &error))?;
     let verifier =
         WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(&provider))
             .build()
-            .map_err(|error| fault(&files.authority, &error))?;
+            .map_err(|error| certificate_error(&files.authority, &error))?;
     let server = rustls::ServerConfig::builder_with_provider(Arc::clone(&provider))
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|error| fault(&files.certificate, &error))?
+        .map_err(|error| certificate_error(&files.certificate, &error))?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.clone(), key.clone_key())
-        .map_err(|error| fault(&files.certificate, &error))?;
+        .map_err(|error| certificate_error(&files.certificate, &error))?;
     let client = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|error| fault(&files.certificate, &error))?
+        .map_err(|error| certificate_error(&files.certificate, &error))?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, key)
-        .map_err(|error| fault(&files.certificate, &error))?;
-    let server = QuicServerConfig::try_from(server).map_err(|error| fault(&files.key, &error))?;
-    let client = QuicClientConfig::try_from(client).map_err(|error| fault(&files.key, &error))?;
+        .map_err(|error| certificate_error(&files.certificate, &error))?;
+    let server = QuicServerConfig::try_from(server)
+        .map_err(|error| certificate_error(&files.key, &error))?;
+    let client = QuicClientConfig::try_from(client)
+        .map_err(|error| certificate_error(&files.key, &error))?;
     let mut server = quinn::ServerConfig::with_crypto(Arc::new(server));
     let mut client = quinn::ClientConfig::new(Arc::new(client));
     server.transport_config(transport());
@@ -77,7 +79,7 @@
 
 pub(crate) fn transport() -> Arc<quinn::TransportConfig> {
     let mut transport = quinn::TransportConfig::default();
-    transport.max_idle_timeout(IDLE.try_into().ok());
+    transport.max_idle_timeout(IDLE_TIMEOUT.try_into().ok());
     Arc::new(transport)
 }
 
@@ -86,21 +88,22 @@
     for certificate in chain(file)? {
         roots
             .add(certificate)
-            .map_err(|error| fault(file, &error))?;
+            .map_err(|error| certificate_error(file, &error))?;
     }
     Ok(roots)
 }
 
 fn chain(file: &str) -> Result<Vec<CertificateDer<'static>>, Error> {
-    let certificates = CertificateDer::pem_file_iter(file).map_err(|error| fault(file, &error))?;
+    let certificates =
+        CertificateDer::pem_file_iter(file).map_err(|error| certificate_error(file, &error))?;
     let chain = certificates.collect::<Result<Vec<_>, _>>();
-    let chain = chain.map_err(|error| fault(file, &error))?;
+    let chain = chain.map_err(|error| certificate_error(file, &error))?;
     if chain.is_empty() {
-        return Err(fault(file, &"holds no certificate"));
+        return Err(certificate_error(file, &"contains no certificate"));
     }
     Ok(chain)
 }
 
-fn fault(file: &str, error: &dyn Display) -> Error {
+fn certificate_error(file: &str, error: &dyn Display) -> Error {
     Error::Certificate(file.to_string(), error.to_string())
 }
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between instances: decoding, and who is let in.
+//! Encoding of messages between instances.
 
 use {
     peer::{Answer, Hello, Record},
@@ -16,10 +16,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// An instance of another version sends what this one cannot read; the exchange
-    /// fails, the instance goes on.
+    /// A message from an instance of another version must fail to decode, not panic.
     #[test]
-    fn rubbish_is_refused(data in vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_do_not_panic_the_decoder(data in vec(any::<u8>(), 0..600)) {
         let hello = postcard::from_bytes::<Hello>(&data);
         let answer = postcard::from_bytes::<Answer>(&data);
         prop_assert!(hello.is_ok() || hello.is_err());
@@ -27,7 +26,7 @@
     }
 
     #[test]
-    fn an_answer_comes_back(data in vec(any::<u8>(), 0..600), offset in any::<u64>()) {
+    fn answer_round_trips(data in vec(any::<u8>(), 0..600), offset in any::<u64>()) {
         let answer = Answer {
             hello: Hello::default(),
             records: vec![Record { data, offset }],
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -3,7 +3,7 @@
 use {
     crate::{clock, prelude::*, settings::Instance},
     forward::reader::Readers,
-    peer::{datagram::Datagrams, pinned::Fingerprint},
+    peer::{datagram::DatagramSocket, pinned::Fingerprint},
     platform::instance::Entry,
 };
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct Fellows {
     /// Connections to them, once there is a socket.
-    pub datagrams: RefCell<Option<Datagrams>>,
+    pub datagrams: RefCell<Option<DatagramSocket>>,
     /// Life and number of the last report of each fellow, sorted by name.
     echoes: RefCell<Vec<(String, (u64, u64))>>,
     /// Sorted by name.
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/hear.rs
@@ -12,12 +12,12 @@
         aggregate::{domains::Part, members::Role, table::Changes, view},
         reader::{Mark, TOPICS, Word},
     },
-    peer::datagram::Datagrams,
+    peer::datagram::DatagramSocket,
     tokio::sync::mpsc,
 };
 
 /// Hears for ever.
-pub async fn run(shared: &Shared, datagrams: &Datagrams, mut messages: mpsc::Receiver<Bytes>) {
+pub async fn run(shared: &Shared, datagrams: &DatagramSocket, mut messages: mpsc::Receiver<Bytes>) {
     while let Some(data) = messages.recv().await {
         match postcard::from_bytes::<Message>(&data) {
             Ok(Message::Answer(answer)) => hear_answer(shared, answer),
@@ -32,7 +32,7 @@
     }
 }
 
-fn hear_report(shared: &Shared, datagrams: &Datagrams, mut report: Report) {
+fn hear_report(shared: &Shared, datagrams: &DatagramSocket, mut report: Report) {
     let now = clock::now();
     note(shared, &report.name, report.life, report.number);
     let loads = report.loads.drain(..).map(load).collect();
--- a/crates/proxy/src/gossip/links.rs
+++ b/crates/proxy/src/gossip/links.rs
@@ -5,7 +5,7 @@
     crate::{clock, prelude::*},
     forward::aggregate::members::Role,
     peer::{
-        datagram::{Datagrams, Side},
+        datagram::{DatagramSocket, Initiator},
         pinned::Pins,
     },
 };
@@ -19,7 +19,7 @@
 
 /// Keeps connections to those that this instance talks to. Where both talk to each other,
 /// the one with the lower address opens it.
-pub async fn keep(shared: &Shared, datagrams: &Datagrams, pins: &Pins, own: SocketAddr) {
+pub async fn keep(shared: &Shared, datagrams: &DatagramSocket, pins: &Pins, own: SocketAddr) {
     let mut missing = Vec::<(SocketAddr, u32)>::new();
     loop {
         pins.set(shared.fellows.fingerprints());
@@ -27,8 +27,8 @@
         let role = role(shared);
         let listed = shared.fellows.addresses(&shared.settings.instance.name);
         let wanted = wanted(shared);
-        datagrams.retain(|address, side| {
-            let accepted = side == Side::Other || role == Role::Equal;
+        datagrams.retain(|address, initiator| {
+            let accepted = initiator == Initiator::Remote || role == Role::Equal;
             listed.binary_search(&address).is_ok()
                 && (accepted || wanted.iter().any(|(other, _)| *other == address))
         });
@@ -57,7 +57,7 @@
 
 /// Passes over fellows that owe an answer, and closes their connections: one that has been
 /// restarted at its address does not say so, and what is sent to it is lost for seconds.
-pub fn settle(shared: &Shared, datagrams: &Datagrams) {
+pub fn settle(shared: &Shared, datagrams: &DatagramSocket) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     let silent = state.members.settle(now);
@@ -82,7 +82,7 @@
     wanted.collect()
 }
 
-fn open(datagrams: &Datagrams, address: SocketAddr) {
+fn open(datagrams: &DatagramSocket, address: SocketAddr) {
     let datagrams = datagrams.clone();
     tokio::task::spawn_local(async move {
         if let Err(error) = datagrams.connect(address).await {
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -19,7 +19,7 @@
     crate::prelude::*,
     forward::aggregate::members::Role,
     peer::{
-        datagram::Datagrams,
+        datagram::DatagramSocket,
         pinned::{self, Identity, Pins},
     },
     platform::instance::Entry,
@@ -36,7 +36,7 @@
     let instance = &shared.settings.instance;
     let started = Identity::new().and_then(|identity| {
         let configs = pinned::configs(&identity, &pins)?;
-        let datagrams = Datagrams::listen(instance.fellows, configs, heard)?;
+        let datagrams = DatagramSocket::listen(instance.fellows, configs, heard)?;
         let address = datagrams.address()?;
         Ok((identity, datagrams, address))
     });
--- a/crates/proxy/src/gossip/records.rs
+++ b/crates/proxy/src/gossip/records.rs
@@ -109,7 +109,7 @@
     names.sort_unstable();
     names.dedup();
     for address in names.iter().filter_map(|name| shared.fellows.address(name)) {
-        if let Err(error) = datagrams.send_whole(address, data.clone()) {
+        if let Err(error) = datagrams.send_reliable(address, data.clone()) {
             log::trace!(address:%, error:%; "records not passed on");
         }
     }
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/tell.rs
@@ -13,7 +13,7 @@
         load::{self, digest},
         reader::TOPICS,
     },
-    peer::datagram::Datagrams,
+    peer::datagram::DatagramSocket,
 };
 
 /// Shortest pause between two reports. A request is placed on what the others reported
@@ -49,7 +49,7 @@
 const MOST_ROWS: usize = 64;
 
 /// Tells for ever.
-pub async fn run(shared: &Shared, datagrams: &Datagrams) {
+pub async fn run(shared: &Shared, datagrams: &DatagramSocket) {
     let mut whole_at = clock::now();
     loop {
         let role = role(shared);
@@ -149,7 +149,7 @@
 }
 
 /// Reports the load to those of the links that add it up, or to all if instances are few.
-fn report(shared: &Shared, datagrams: &Datagrams, links: &[Link], loads: &load::Report) {
+fn report(shared: &Shared, datagrams: &DatagramSocket, links: &[Link], loads: &load::Report) {
     let now = clock::now();
     let role = role(shared);
     let number = now.micros();
@@ -188,7 +188,13 @@
 
 /// Tells the aggregators of other failure domains the sum of this one, or the rows of it that
 /// have grown.
-fn sum(shared: &Shared, datagrams: &Datagrams, links: &[Link], own: &load::Report, is_whole: bool) {
+fn sum(
+    shared: &Shared,
+    datagrams: &DatagramSocket,
+    links: &[Link],
+    own: &load::Report,
+    is_whole: bool,
+) {
     let now = clock::now();
     let mut names = shared.state.borrow().sums.domains.senders();
     for link in links.iter().filter(|link| !link.near) {
@@ -266,7 +272,7 @@
 }
 
 /// Answers the report of a member.
-pub fn answer(shared: &Shared, datagrams: &Datagrams, report: &Report) {
+pub fn answer(shared: &Shared, datagrams: &DatagramSocket, report: &Report) {
     let Some(address) = shared.fellows.address(&report.name) else {
         return;
     };
@@ -301,7 +307,7 @@
     }
 }
 
-fn send(datagrams: &Datagrams, address: SocketAddr, message: &Message) {
+fn send(datagrams: &DatagramSocket, address: SocketAddr, message: &Message) {
     let Some(data) = message.encode() else {
         return;
     };
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -23,7 +23,7 @@
         request::Ticket,
         state::Place,
     },
-    peer::datagram::Datagrams,
+    peer::datagram::DatagramSocket,
     platform::{Store, store::Topic},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
     tokio::sync::Notify,
@@ -304,7 +304,7 @@
     }
 
     /// A fellow is talked to and owes an answer.
-    pub fn asked(&self, datagrams: &Datagrams, key: MemberKey, address: SocketAddr) {
+    pub fn asked(&self, datagrams: &DatagramSocket, key: MemberKey, address: SocketAddr) {
         let connected = datagrams.is_open(address);
         let mut state = self.state.borrow_mut();
         state.members.asked(key, clock::now(), connected);
