--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -12,27 +12,27 @@
 };
 
 /// Takes the newest record of each key in; keys that are not among them are gone.
-pub fn all(shared: &Shared, topic: Topic, records: &[Keyed]) {
+pub fn snapshot(shared: &Shared, topic: Topic, records: &[Keyed]) {
     match topic {
-        Topic::Endpoints => drop_unlisted(shared, records),
-        Topic::Operators => take_back(shared, records),
-        Topic::Instances => forget_unlisted(shared, records),
+        Topic::Endpoints => remove_unlisted_endpoints(shared, records),
+        Topic::Operators => reinstate_unlisted_domains(shared, records),
+        Topic::Instances => remove_unlisted_instances(shared, records),
     }
     for record in records {
-        one(shared, topic, record);
+        update(shared, topic, record);
     }
 }
 
 /// Takes one record in.
-pub fn one(shared: &Shared, topic: Topic, record: &Keyed) {
+pub fn update(shared: &Shared, topic: Topic, record: &Keyed) {
     match topic {
-        Topic::Endpoints => entry(shared, record),
-        Topic::Instances => fellow(shared, record),
-        Topic::Operators => order(shared, record),
+        Topic::Endpoints => apply_endpoint(shared, record),
+        Topic::Instances => apply_instance(shared, record),
+        Topic::Operators => apply_operator_record(shared, record),
     }
 }
 
-fn drop_unlisted(shared: &Shared, records: &[Keyed]) {
+fn remove_unlisted_endpoints(shared: &Shared, records: &[Keyed]) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     for id in state.listed() {
@@ -45,22 +45,22 @@
 
 /// Instances whose entry is gone are forgotten. If it is the own one, it is written again:
 /// fellows that have not heard of an instance do not let it in.
-fn forget_unlisted(shared: &Shared, records: &[Keyed]) {
+fn remove_unlisted_instances(shared: &Shared, records: &[Keyed]) {
     let listed = |name: &str| records.iter().any(|record| record.key == name);
     let own = &shared.settings.instance.name;
     if !listed(own) {
         shared.republish.notify_one();
     }
-    for name in shared.fellows.names() {
+    for name in shared.peers.names() {
         if name != *own && !listed(&name) {
             log::info!(fellow = name; "instance not among the newest records");
-            list(shared, &name, None);
+            set_instance(shared, &name, None);
         }
     }
 }
 
 /// Failure domains whose record is gone are in again.
-fn take_back(shared: &Shared, records: &[Keyed]) {
+fn reinstate_unlisted_domains(shared: &Shared, records: &[Keyed]) {
     let out = records
         .iter()
         .filter_map(|record| match records::order(record) {
@@ -77,7 +77,7 @@
     }
 }
 
-fn entry(shared: &Shared, record: &Keyed) {
+fn apply_endpoint(shared: &Shared, record: &Keyed) {
     let (change, error) = list::change(record);
     match (&change, error) {
         (_, Some(error)) => {
@@ -95,7 +95,7 @@
     shared.state.borrow_mut().change(clock::now(), change);
 }
 
-fn fellow(shared: &Shared, record: &Keyed) {
+fn apply_instance(shared: &Shared, record: &Keyed) {
     match instance::decode(record) {
         Ok(entry) => {
             let address = entry.as_ref().map(|entry| entry.address);
@@ -104,7 +104,7 @@
             if own && entry.is_none() {
                 shared.republish.notify_one();
             }
-            list(shared, &record.key, entry);
+            set_instance(shared, &record.key, entry);
         }
         Err(error) => {
             log::warn!(fellow = record.key, offset = record.offset, error:%; "record of no use");
@@ -113,7 +113,7 @@
 }
 
 /// Takes the entry of an instance in, or forgets the instance.
-fn list(shared: &Shared, name: &str, entry: Option<Entry>) {
+fn set_instance(shared: &Shared, name: &str, entry: Option<Entry>) {
     {
         let mut state = shared.state.borrow_mut();
         if let Some(entry) = &entry {
@@ -127,14 +127,14 @@
         let published = state.members.count();
         state.count_instances(published);
     };
-    if let Some(address) = shared.fellows.hear(name, entry)
-        && let Some(datagrams) = &*shared.fellows.datagrams.borrow()
+    if let Some(address) = shared.peers.update(name, entry)
+        && let Some(datagrams) = &*shared.peers.datagrams.borrow()
     {
         datagrams.close(address);
     }
 }
 
-fn order(shared: &Shared, record: &Keyed) {
+fn apply_operator_record(shared: &Shared, record: &Keyed) {
     match records::order(record) {
         Err(error) => {
             log::error!(key = record.key, offset = record.offset, error:%; "record of no use");
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/buffered.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         clock,
-        exchange::{self, Destination, Original, Sent},
+        exchange::{self, Destination, Original, SendOutcome},
         gossip,
         prelude::*,
         progress::Progress,
         reply,
-        shared::{InFlight, Waiting},
+        shared::{InFlight, QueueSlot},
     },
     forward::{
         choice::{Need, Pick},
@@ -18,31 +18,31 @@
 };
 
 /// Largest answer that is taken in whole, in bytes.
-const MOST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Share of a route's timeout that a request waits for an endpoint with room.
-const WAIT_SHARE: f64 = 0.5;
+const QUEUE_TIMEOUT_SHARE: f64 = 0.5;
 
 /// How an attempt ended.
 enum Attempt {
     /// With an answer for the caller.
     Answered(Reply),
     /// Another endpoint may be tried.
-    Again,
+    Retry,
     /// No more tries.
-    Over(Refusal),
+    Failed(Refusal),
 }
 
 /// An answer, taken in whole.
-struct Whole {
+struct BufferedAnswer {
     body: Bytes,
     headers: http::HeaderMap,
     status: StatusCode,
-    verdict: Verdict,
+    flags: Verdict,
 }
 
 /// Why there is no answer.
-struct Failure {
+struct SendFailure {
     why: String,
     /// Whether anything was written to the endpoint.
     written: bool,
@@ -64,11 +64,11 @@
     loop {
         match attempt(shared, original, &mut ticket, &mut progress).await {
             Attempt::Answered(reply) => return Ok(reply),
-            Attempt::Over(refusal) => return progress.end(id, refusal),
-            Attempt::Again => {}
+            Attempt::Failed(refusal) => return progress.finish(id, refusal),
+            Attempt::Retry => {}
         }
         if !progress.may_send(shared, &ticket) {
-            return progress.end(id, Refusal::Full);
+            return progress.finish(id, Refusal::Full);
         }
     }
 }
@@ -79,33 +79,38 @@
     ticket: &mut Ticket,
     progress: &mut Progress,
 ) -> Attempt {
-    let patience = ticket.route.timeout.mul_f64(WAIT_SHARE);
-    let until = original.inbound.arrived.after(patience).min(ticket.expires);
-    let placed = place(shared, ticket, Need::default(), &progress.tried, until).await;
-    let Some((key, _)) = placed else {
+    let queue_timeout = ticket.route.timeout.mul_f64(QUEUE_TIMEOUT_SHARE);
+    let deadline = original
+        .inbound
+        .arrived
+        .after(queue_timeout)
+        .min(ticket.expires);
+    let acquired =
+        acquire_endpoint(shared, ticket, Need::default(), &progress.tried, deadline).await;
+    let Some((key, _)) = acquired else {
         progress.why = "no endpoint with room".to_string();
-        return Attempt::Over(Refusal::Full);
+        return Attempt::Failed(Refusal::Full);
     };
     match shared.readmit(original, ticket) {
         Ok(true) => {}
-        Ok(false) => return Attempt::Again,
-        Err(refusal) => return Attempt::Over(refusal),
+        Ok(false) => return Attempt::Retry,
+        Err(refusal) => return Attempt::Failed(refusal),
     }
     let _in_flight = InFlight::new(shared, key);
-    shared.count_send(&ticket.service, progress.sends > 0);
+    shared.record_attempt(&ticket.service, progress.sends > 0);
     progress.sends += 1;
     match send(shared, original, ticket, progress, key).await {
-        Ok(answer) => judge(shared, ticket, progress, key, answer),
+        Ok(answer) => classify(shared, ticket, progress, key, answer),
         Err(failure) => {
-            shared.unreachable(key);
+            shared.mark_unreachable(key);
             if failure.written {
-                progress.ran(key, failure.why);
+                progress.note_run(key, failure.why);
             } else {
                 progress.why = failure.why;
                 // It never arrived, so it counts neither as a try nor for the budget; the
                 // endpoint is avoided for a while, so the next one is asked.
                 progress.sends -= 1;
-                shared.take_back_send(&ticket.service, progress.sends > 0);
+                shared.refund_send(&ticket.service, progress.sends > 0);
             }
             after_failure(ticket, progress, failure.written)
         }
@@ -119,7 +124,7 @@
     ticket: &Ticket,
     progress: &Progress,
     key: EndpointKey,
-) -> Result<Whole, Failure> {
+) -> Result<BufferedAnswer, SendFailure> {
     let limit = ticket.try_limit(clock::now(), progress.runs);
     let destination = Destination {
         backup: None,
@@ -129,25 +134,25 @@
         last_event: None,
         source: None,
     };
-    let unknown = |why: String| Failure { why, written: true };
+    let unknown = |why: String| SendFailure { why, written: true };
     let read = async {
         match exchange::send(shared, original, &destination, limit).await {
-            Sent::Answer(reply, verdict) => {
+            SendOutcome::Answer(reply, flags) => {
                 let status = reply.status();
                 let headers = head::answer(reply.headers());
-                let body = reply.whole(MOST_ANSWER).await;
-                Ok(Whole {
+                let body = reply.whole(MAX_ANSWER_BYTES).await;
+                Ok(BufferedAnswer {
                     body: body.map_err(|error| unknown(error.to_string()))?,
                     headers,
                     status,
-                    verdict,
+                    flags,
                 })
             }
-            Sent::NotWritten(why) => Err(Failure {
+            SendOutcome::NotWritten(why) => Err(SendFailure {
                 why,
                 written: false,
             }),
-            Sent::Unknown(why) => Err(unknown(why)),
+            SendOutcome::Unknown(why) => Err(unknown(why)),
         }
     };
     let whole = timeout(limit, read).await;
@@ -155,65 +160,65 @@
 }
 
 /// Whether an answer goes to the caller.
-fn judge(
+fn classify(
     shared: &Shared,
     ticket: &Ticket,
     progress: &mut Progress,
     key: EndpointKey,
-    answer: Whole,
+    answer: BufferedAnswer,
 ) -> Attempt {
     let status = answer.status;
-    if answer.verdict.not_run {
-        shared.full(key, status);
-        progress.turned_down(key, format!("turned down with {status}"));
-        return Attempt::Again;
+    if answer.flags.not_run {
+        shared.mark_rejected(key, status);
+        progress.note_rejected(key, format!("turned down with {status}"));
+        return Attempt::Retry;
     }
-    shared.answered(key, status.is_server_error());
-    let proper = answer.verdict.sealed && !answer.verdict.encoded;
-    let promise = matches!(status.as_u16(), 408 | 421 | 429 | 503);
-    if (status.is_success() && !proper) || promise {
-        progress.ran(key, format!("improper answer with {status}"));
+    shared.record_answer(key, status.is_server_error());
+    let is_valid = answer.flags.sealed && !answer.flags.encoded;
+    let claims_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    if (status.is_success() && !is_valid) || claims_not_run {
+        progress.note_run(key, format!("improper answer with {status}"));
         return after_failure(ticket, progress, true);
     }
     let retry = status.is_server_error()
         && ticket.may_run_again(progress.runs + 1)
         && progress.may_send(shared, ticket);
     if retry {
-        progress.ran(key, format!("failed with {status}"));
+        progress.note_run(key, format!("failed with {status}"));
         progress.failure = Some(reply::whole(status, answer.headers, answer.body));
-        return Attempt::Again;
+        return Attempt::Retry;
     }
     Attempt::Answered(reply::whole(status, answer.headers, answer.body))
 }
 
 /// Whether a send that failed leaves room for another one.
 fn after_failure(ticket: &Ticket, progress: &Progress, written: bool) -> Attempt {
-    let over = clock::now() >= ticket.expires;
-    match (written, over) {
-        (_, true) => Attempt::Over(Refusal::TimedOut),
-        (false, false) => Attempt::Again,
-        (true, false) if ticket.may_run_again(progress.runs) => Attempt::Again,
-        (true, false) => Attempt::Over(Refusal::Broken),
+    let is_expired = clock::now() >= ticket.expires;
+    match (written, is_expired) {
+        (_, true) => Attempt::Failed(Refusal::TimedOut),
+        (false, false) => Attempt::Retry,
+        (true, false) if ticket.may_run_again(progress.runs) => Attempt::Retry,
+        (true, false) => Attempt::Failed(Refusal::Broken),
     }
 }
 
-/// Waits for an endpoint with room; `None` if there was none until `until`.
-pub async fn place(
+/// Waits for an endpoint with room; `None` if there was none until `deadline`.
+pub async fn acquire_endpoint(
     shared: &Rc<Shared>,
     ticket: &Ticket,
     need: Need,
     tried: &[EndpointKey],
-    until: Time,
+    deadline: Time,
 ) -> Option<(EndpointKey, Option<EndpointKey>)> {
-    let mut waiting = None::<Waiting>;
+    let mut waiting = None::<QueueSlot>;
     loop {
         let room = shared.room.notified();
-        let passed_over = waiting.as_ref().is_some_and(Waiting::passed_over);
-        if !passed_over && need.prompt > 0 {
-            gossip::tell::refresh(shared).await;
+        let preceded = waiting.as_ref().is_some_and(QueueSlot::is_preceded);
+        if !preceded && need.prompt > 0 {
+            gossip::report::refresh(shared).await;
         }
         let now = clock::now();
-        if !passed_over {
+        if !preceded {
             let pick = shared
                 .state
                 .borrow_mut()
@@ -222,15 +227,15 @@
                 return Some((key, backup));
             }
         }
-        if now >= until {
+        if now >= deadline {
             return None;
         }
-        waiting.get_or_insert_with(|| Waiting::new(shared, ticket));
+        waiting.get_or_insert_with(|| QueueSlot::new(shared, ticket));
         // Room also comes about by time alone, when a pause after a failure ends.
-        let pause = until.since(now).min(ROOM_CHECK);
+        let pause = deadline.since(now).min(ROOM_POLL_INTERVAL);
         let _announced = timeout(pause, room).await;
     }
 }
 
 /// How often a waiting request looks for room that nobody announced.
-const ROOM_CHECK: Duration = Duration::from_millis(25);
+const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -8,7 +8,7 @@
 
 /// What came of a send.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The endpoint answered; the body has not been read.
     Answer(endpoint::client::Reply, Verdict),
     /// Nothing was written.
@@ -52,33 +52,35 @@
     original: &Original,
     destination: &Destination<'_>,
     limit: Duration,
-) -> Sent {
-    let Some((address, endpoint)) = shared.target(destination.key) else {
-        return Sent::NotWritten("endpoint is gone".to_string());
+) -> SendOutcome {
+    let Some((address, endpoint)) = shared.endpoint_address(destination.key) else {
+        return SendOutcome::NotWritten("endpoint is gone".to_string());
     };
-    let left = destination.expires.since(clock::now());
-    let backup = destination.backup.and_then(|key| shared.target(key));
+    let remaining = destination.expires.since(clock::now());
+    let backup = destination
+        .backup
+        .and_then(|key| shared.endpoint_address(key));
     let directions = Directions {
         backup: backup.map(|(address, _)| address),
         customer: destination.customer,
         endpoint: &endpoint,
         last_event: destination.last_event,
-        left,
+        left: remaining,
         source: destination.source,
     };
     let request = head::outbound(&original.parts, original.body.clone(), &directions);
     let request = match request {
         Ok(request) => request,
-        Err(error) => return Sent::NotWritten(error.to_string()),
+        Err(error) => return SendOutcome::NotWritten(error.to_string()),
     };
-    shared.sent(destination.key);
+    shared.record_send(destination.key);
     log_send(shared, &original.inbound.id, destination, &endpoint);
     exchange(
         shared,
         address,
         request,
         &original.inbound.id,
-        limit.min(left),
+        limit.min(remaining),
     )
     .await
 }
@@ -106,21 +108,21 @@
     request: Request<Full<Bytes>>,
     id: &str,
     limit: Duration,
-) -> Sent {
+) -> SendOutcome {
     let address = address.to_string();
     let sending = shared.client.send(&address, request);
     match timeout(limit, sending).await {
-        Err(_) => Sent::Unknown("no answer in time".to_string()),
-        Ok(Err(error)) if error.unwritten() => Sent::NotWritten(error.to_string()),
-        Ok(Err(error)) => Sent::Unknown(error.to_string()),
+        Err(_) => SendOutcome::Unknown("no answer in time".to_string()),
+        Ok(Err(error)) if error.unwritten() => SendOutcome::NotWritten(error.to_string()),
+        Ok(Err(error)) => SendOutcome::Unknown(error.to_string()),
         Ok(Ok(reply)) => {
-            let verdict = head::verdict(reply.status(), reply.headers(), id);
-            if !verdict.matches {
+            let flags = head::verdict(reply.status(), reply.headers(), id);
+            if !flags.matches {
                 // A late second answer to an earlier request. The one that belongs here
                 // may follow it, but this connection cannot be trusted any more.
-                return Sent::Unknown("answer to another request".to_string());
+                return SendOutcome::Unknown("answer to another request".to_string());
             }
-            Sent::Answer(reply, verdict)
+            SendOutcome::Answer(reply, flags)
         }
     }
 }
--- a/crates/proxy/src/gossip/links.rs
+++ b/crates/proxy/src/gossip/connections.rs
@@ -11,21 +11,21 @@
 };
 
 /// Pause before a fellow that could not be reached is tried again.
-const RECONNECT: Duration = Duration::from_millis(700);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Rounds after which an instance opens a connection that the other one should have opened;
 /// views of who talks to whom differ at times.
-const OPENED_BY_OTHER: u32 = 2;
+const PEER_OPEN_ROUNDS: u32 = 2;
 
 /// Keeps connections to those that this instance talks to. Where both talk to each other,
 /// the one with the lower address opens it.
-pub async fn keep(shared: &Shared, datagrams: &DatagramSocket, pins: &Pins, own: SocketAddr) {
+pub async fn maintain(shared: &Shared, datagrams: &DatagramSocket, pins: &Pins, own: SocketAddr) {
     let mut missing = Vec::<(SocketAddr, u32)>::new();
     loop {
-        pins.set(shared.fellows.fingerprints());
-        settle(shared, datagrams);
+        pins.set(shared.peers.fingerprints());
+        skip_unresponsive(shared, datagrams);
         let role = role(shared);
-        let listed = shared.fellows.addresses(&shared.settings.instance.name);
+        let listed = shared.peers.addresses(&shared.settings.instance.name);
         let wanted = wanted(shared);
         datagrams.retain(|address, initiator| {
             let accepted = initiator == Initiator::Remote || role == Role::Equal;
@@ -39,32 +39,32 @@
         missing.retain(|(address, _)| closed.iter().any(|(other, _)| other == address));
         for (address, mutual) in closed {
             let known = missing.iter().position(|(other, _)| *other == address);
-            let place = known.unwrap_or_else(|| {
+            let index = known.unwrap_or_else(|| {
                 missing.push((address, 0));
                 missing.len() - 1
             });
-            let rounds = missing[place].1;
-            missing[place].1 += 1;
+            let rounds = missing[index].1;
+            missing[index].1 += 1;
             let is_equal = role == Role::Equal;
-            let opens = !mutual || own < address || (!is_equal && rounds >= OPENED_BY_OTHER);
+            let opens = !mutual || own < address || (!is_equal && rounds >= PEER_OPEN_ROUNDS);
             if opens {
                 open(datagrams, address);
             }
         }
-        sleep(RECONNECT).await;
+        sleep(RECONNECT_INTERVAL).await;
     }
 }
 
 /// Passes over fellows that owe an answer, and closes their connections: one that has been
 /// restarted at its address does not say so, and what is sent to it is lost for seconds.
-pub fn settle(shared: &Shared, datagrams: &DatagramSocket) {
+pub fn skip_unresponsive(shared: &Shared, datagrams: &DatagramSocket) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     let silent = state.members.settle(now);
     for key in silent {
         let name = state.members.name(key);
         log::info!(fellow = name; "fellow instance passed over, it does not answer");
-        if let Some(address) = shared.fellows.address(name) {
+        if let Some(address) = shared.peers.address(name) {
             datagrams.close(address);
         }
     }
@@ -76,7 +76,7 @@
     let own = &shared.settings.instance.name;
     let links = state.members.links(own, clock::now()).into_iter();
     let wanted = links.filter_map(|link| {
-        let address = shared.fellows.address(state.members.name(link.key))?;
+        let address = shared.peers.address(state.members.name(link.key))?;
         Some((address, link.mutual))
     });
     wanted.collect()
--- a/crates/proxy/src/gossip/history.rs
+++ b/crates/proxy/src/gossip/history.rs
@@ -3,10 +3,10 @@
 use {crate::prelude::*, platform::store::Keyed, std::collections::VecDeque};
 
 /// Bytes of records of a topic that are kept for members which lack some.
-pub const MOST_KEPT: usize = 128 << 10;
+pub const MAX_HISTORY_BYTES: usize = 128 << 10;
 
 /// Pause before a member gets the records that it lacks again.
-const SEND_AGAIN: Duration = Duration::from_millis(300);
+const RESEND_DELAY: Duration = Duration::from_millis(300);
 
 /// The last records of a topic without a gap, for members that lack some.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
         }
         let after = records.last().map_or(from, |record| record.offset + 1);
         self.next = self.next.max(after);
-        while self.bytes > MOST_KEPT {
+        while self.bytes > MAX_HISTORY_BYTES {
             let Some(dropped) = self.records.pop_front() else {
                 return;
             };
@@ -54,14 +54,15 @@
 
     /// Whether a member may be sent records now; it is taken as sent.
     pub fn due(&mut self, member: &str, now: Time) -> bool {
-        self.sent.retain(|(_, sent)| now.since(*sent) < SEND_AGAIN);
-        let place = self
+        self.sent
+            .retain(|(_, sent)| now.since(*sent) < RESEND_DELAY);
+        let index = self
             .sent
             .binary_search_by(|(other, _)| other.as_str().cmp(member));
-        let Err(place) = place else {
+        let Err(index) = index else {
             return false;
         };
-        self.sent.insert(place, (member.to_string(), now));
+        self.sent.insert(index, (member.to_string(), now));
         true
     }
 }
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -1,19 +1,19 @@
 //! Words between instances: load, the age of knowledge, and records that were read.
 //!
 //! * [`entry`]: how an instance makes itself known in the store;
-//! * [`links`]: to whom it keeps connections;
-//! * [`tell`]: what it says, and how often;
-//! * [`hear`]: what it takes from the words of others;
+//! * [`connections`]: to whom it keeps connections;
+//! * [`report`]: what it says, and how often;
+//! * [`receive`]: what it takes from the words of others;
 //! * [`records`]: how records of the store travel, and [`history`], what is kept of them.
 //!
 //! Who says what to whom is decided in [`forward::aggregate`].
 
-pub mod entry;
-pub mod hear;
+pub mod connections;
 pub mod history;
-pub mod links;
+pub mod receive;
 pub mod records;
-pub mod tell;
+pub mod registration;
+pub mod report;
 
 use {
     crate::prelude::*,
@@ -27,16 +27,16 @@
 };
 
 /// Datagrams that wait to be read.
-const MOST_HEARD: usize = 256;
+const RECEIVE_QUEUE_LENGTH: usize = 256;
 
 /// Publishes this instance, then tells fellows of its load and hears of theirs, for ever.
 pub async fn run(shared: Rc<Shared>) {
-    let (heard, messages) = mpsc::channel(MOST_HEARD);
+    let (received, messages) = mpsc::channel(RECEIVE_QUEUE_LENGTH);
     let pins = Pins::default();
     let instance = &shared.settings.instance;
     let started = Identity::new().and_then(|identity| {
         let configs = pinned::configs(&identity, &pins)?;
-        let datagrams = DatagramSocket::listen(instance.fellows, configs, heard)?;
+        let datagrams = DatagramSocket::listen(instance.fellows, configs, received)?;
         let address = datagrams.address()?;
         Ok((identity, datagrams, address))
     });
@@ -53,13 +53,13 @@
         fingerprint: identity.fingerprint,
         processor: instance.processor_thousandths(),
     };
-    shared.fellows.datagrams.replace(Some(datagrams.clone()));
+    shared.peers.datagrams.replace(Some(datagrams.clone()));
     tokio::join!(
-        entry::keep_published(&shared, &entry),
-        entry::drop_dead(&shared),
-        links::keep(&shared, &datagrams, &pins, address),
-        tell::run(&shared, &datagrams),
-        hear::run(&shared, &datagrams, messages),
+        registration::keep_published(&shared, &entry),
+        registration::drop_dead_entries(&shared),
+        connections::maintain(&shared, &datagrams, &pins, address),
+        report::run(&shared, &datagrams),
+        receive::run(&shared, &datagrams, messages),
     );
 }
 
--- a/crates/proxy/src/gossip/hear.rs
+++ b/crates/proxy/src/gossip/receive.rs
@@ -1,10 +1,10 @@
 //! What an instance takes from the words of others.
 
 use {
-    super::{records, role, tell},
+    super::{records, report, role},
     crate::{
         clock, follow,
-        message::{Answer, Batch, Message, RawWord, Report, Sum, load},
+        message::{Answer, Batch, Message, RawWatermark, Report, Sum, load},
         prelude::*,
         topic,
     },
@@ -20,55 +20,55 @@
 pub async fn run(shared: &Shared, datagrams: &DatagramSocket, mut messages: mpsc::Receiver<Bytes>) {
     while let Some(data) = messages.recv().await {
         match postcard::from_bytes::<Message>(&data) {
-            Ok(Message::Answer(answer)) => hear_answer(shared, answer),
-            Ok(Message::Records(data)) => match Batch::unpack(&data) {
-                Ok(batch) => records::take(shared, batch),
+            Ok(Message::Answer(answer)) => handle_answer(shared, answer),
+            Ok(Message::Records(data)) => match Batch::decompress(&data) {
+                Ok(batch) => records::receive(shared, batch),
                 Err(error) => log::warn!(error:%; "records of a fellow instance cannot be read"),
             },
-            Ok(Message::Report(report)) => hear_report(shared, datagrams, report),
-            Ok(Message::Sum(sum)) => hear_sum(shared, sum),
+            Ok(Message::Report(report)) => handle_report(shared, datagrams, report),
+            Ok(Message::Sum(sum)) => handle_sum(shared, sum),
             Err(error) => log::warn!(error:%; "message of a fellow instance cannot be read"),
         }
     }
 }
 
-fn hear_report(shared: &Shared, datagrams: &DatagramSocket, mut report: Report) {
+fn handle_report(shared: &Shared, datagrams: &DatagramSocket, mut report: Report) {
     let now = clock::now();
-    note(shared, &report.name, report.life, report.number);
+    note_sender(shared, &report.name, report.incarnation, report.number);
     let loads = report.loads.drain(..).map(load).collect();
     let role = role(shared);
     if role == Role::Equal {
         let mut state = shared.state.borrow_mut();
         state.fellows.hear(&report.name, now, report.number, loads);
-    } else if shared.is_near(&report.name) {
+    } else if shared.in_own_domain(&report.name) {
         // A report of another domain, whose sender takes instances for few yet, is counted
         // in the sum of its own domain.
-        shared.take_report(now, &report.name, report.number, loads);
-        tell::answer(shared, datagrams, &report);
-        if report.holds.is_some() {
-            shared.fellows.listens(&report.name, now);
+        shared.apply_report(now, &report.name, report.number, loads);
+        report::answer(shared, datagrams, &report);
+        if report.held_version.is_some() {
+            shared.peers.note_subscriber(&report.name, now);
             records::send_missing(shared, &report);
         }
     }
-    hear_words(shared, &report.name, false, report.echo, report.words);
+    handle_watermarks(shared, &report.name, false, report.echo, report.watermarks);
 }
 
-fn hear_answer(shared: &Shared, answer: Answer) {
-    let (life, echo) = answer.echo;
-    if life != shared.life {
+fn handle_answer(shared: &Shared, answer: Answer) {
+    let (incarnation, echo) = answer.echo;
+    if incarnation != shared.incarnation {
         return;
     }
-    note(shared, &answer.name, answer.life, answer.number);
+    note_sender(shared, &answer.name, answer.incarnation, answer.number);
     let has_rows = answer.changes.is_some();
     let changes = answer.changes.map(|changes| Changes {
-        anew: changes.anew,
+        anew: changes.reset,
         rows: changes.loads.into_iter().map(load).collect(),
         version: changes.version,
     });
     let taken = view::Answer {
         changes,
         echo,
-        life: answer.life,
+        life: answer.incarnation,
         members: answer.members,
     };
     {
@@ -78,15 +78,15 @@
             state.sums.views.hear(&answer.name, rank, taken);
         }
     }
-    shared.settle(role(shared));
+    shared.select_load_source(role(shared));
     if has_rows {
-        shared.told.notify_waiters();
+        shared.rows_received.notify_waiters();
     }
-    hear_words(shared, &answer.name, true, answer.echo, answer.words);
+    handle_watermarks(shared, &answer.name, true, answer.echo, answer.watermarks);
 }
 
-fn hear_sum(shared: &Shared, sum: Sum) {
-    note(shared, &sum.name, sum.life, sum.number);
+fn handle_sum(shared: &Shared, sum: Sum) {
+    note_sender(shared, &sum.name, sum.incarnation, sum.number);
     {
         let mut state = shared.state.borrow_mut();
         state.members.heard(&sum.name);
@@ -97,7 +97,7 @@
         if domain != shared.settings.instance.domain {
             let part = Part {
                 covers: sum.covers,
-                life: sum.life,
+                life: sum.incarnation,
                 members: sum.members,
                 number: sum.number,
                 rows: sum.loads.into_iter().map(load).collect(),
@@ -109,25 +109,25 @@
                 .hear(now, &domain, &sum.name, rank, &part);
         }
     }
-    hear_words(shared, &sum.name, true, sum.echo, sum.words);
+    handle_watermarks(shared, &sum.name, true, sum.echo, sum.watermarks);
 }
 
 /// Notes life and number of a fellow's message; what it said in an earlier life is over.
-fn note(shared: &Shared, name: &str, life: u64, number: u64) {
-    if shared.fellows.note(name, life, number) {
+fn note_sender(shared: &Shared, name: &str, incarnation: u64, number: u64) {
+    if shared.peers.record_report(name, incarnation, number) {
         log::info!(fellow = name; "fellow instance has started anew");
         shared.state.borrow_mut().fellows.forget(name);
     }
 }
 
-fn hear_words(
+fn handle_watermarks(
     shared: &Shared,
     name: &str,
     aggregates: bool,
     echo: (u64, u64),
-    words: [RawWord; TOPICS],
+    watermarks: [RawWatermark; TOPICS],
 ) {
-    let words = words.map(|(age, position)| Word {
+    let watermarks = watermarks.map(|(age, position)| Word {
         age: age.map(|age| Duration::from_millis(u64::from(age))),
         position,
     });
@@ -135,15 +135,17 @@
     shared
         .readers
         .borrow_mut()
-        .hear(name, now, aggregates, words);
-    let (life, micros) = echo;
+        .hear(name, now, aggregates, watermarks);
+    let (incarnation, micros) = echo;
     let echo = Mark {
         at: Time::from_micros(micros),
-        life,
+        life: incarnation,
     };
-    for (topic, word) in topic::ALL.into_iter().zip(words) {
+    for (topic, watermark) in topic::ALL.into_iter().zip(watermarks) {
         let known = shared.topic(topic).position.get();
-        if let Some(asked) = known.and_then(|position| word.proves(echo, shared.life, position)) {
+        if let Some(asked) =
+            known.and_then(|position| watermark.proves(echo, shared.incarnation, position))
+        {
             follow::prove(shared, topic, asked);
         }
     }
--- a/crates/proxy/src/gossip/records.rs
+++ b/crates/proxy/src/gossip/records.rs
@@ -14,7 +14,7 @@
 
 /// Passes records on that this instance has read: to all fellows if they are few, else to
 /// aggregators and, as one, to members.
-pub fn pass_on(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
+pub fn relay(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
     let names = shared.links().into_iter().map(|link| {
         let state = shared.state.borrow();
         state.members.name(link.key).to_string()
@@ -22,14 +22,14 @@
     let mut names = names.collect::<Vec<_>>();
     if role(shared) == Role::Aggregator {
         names.extend(shared.state.borrow().sums.domains.senders());
-        names.extend(shared.fellows.listeners(clock::now()));
+        names.extend(shared.peers.subscribers(clock::now()));
     }
     send(shared, topic, from, records, names);
 }
 
 /// Takes records in that a fellow has read, and passes on what is new here: those of an
 /// aggregator to members, those of a member that had to read itself to all.
-pub fn take(shared: &Shared, batch: Batch) {
+pub fn receive(shared: &Shared, batch: Batch) {
     let Some(topic) = topic::ALL.get(usize::from(batch.topic)).copied() else {
         log::warn!(topic = batch.topic; "records of an unknown topic");
         return;
@@ -44,7 +44,7 @@
         value: record.value.map(Bytes::from),
     });
     let records = records.collect::<Vec<_>>();
-    let reached = follow::take(shared, topic, batch.from, &records);
+    let reached = follow::apply_records(shared, topic, batch.from, &records);
     log::info!(
         topic:?, from = batch.from, records = records.len(), known, reached;
         "records of a fellow"
@@ -52,16 +52,16 @@
     if reached <= known || role(shared) != Role::Aggregator {
         return;
     }
-    let listeners = shared.fellows.listeners(clock::now());
-    if listeners.contains(&batch.sender) {
-        pass_on(shared, topic, batch.from, &records);
+    let subscribers = shared.peers.subscribers(clock::now());
+    if subscribers.contains(&batch.sender) {
+        relay(shared, topic, batch.from, &records);
     } else {
-        send(shared, topic, batch.from, &records, listeners);
+        send(shared, topic, batch.from, &records, subscribers);
     }
 }
 
 /// Keeps records for members that lack some; only an aggregator needs to.
-pub fn keep(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
+pub fn retain_history(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
     let mut history = shared.history[topic::index(topic)].borrow_mut();
     if role(shared) == Role::Aggregator {
         history.add(from, records);
@@ -73,7 +73,7 @@
 /// Sends a member the records that it lacks by its report.
 pub fn send_missing(shared: &Shared, report: &Report) {
     let now = clock::now();
-    for (topic, (age, position)) in topic::ALL.into_iter().zip(report.words) {
+    for (topic, (age, position)) in topic::ALL.into_iter().zip(report.watermarks) {
         let known = shared.topic(topic).position.get().unwrap_or_default();
         if age.is_none() || position >= known {
             continue;
@@ -101,14 +101,14 @@
         sender: shared.settings.instance.name.clone(),
         topic: u8::try_from(topic::index(topic)).unwrap_or(u8::MAX),
     };
-    let datagrams = shared.fellows.datagrams.borrow();
-    let data = batch.pack().and_then(|message| message.encode());
+    let datagrams = shared.peers.datagrams.borrow();
+    let data = batch.compress().and_then(|message| message.encode());
     let (Some(datagrams), Some(data)) = (&*datagrams, data) else {
         return;
     };
     names.sort_unstable();
     names.dedup();
-    for address in names.iter().filter_map(|name| shared.fellows.address(name)) {
+    for address in names.iter().filter_map(|name| shared.peers.address(name)) {
         if let Err(error) = datagrams.send_reliable(address, data.clone()) {
             log::trace!(address:%, error:%; "records not passed on");
         }
--- a/crates/proxy/src/gossip/entry.rs
+++ b/crates/proxy/src/gossip/registration.rs
@@ -11,10 +11,10 @@
 };
 
 /// Pause before the own entry is written again after a failed call.
-const PUBLISH_RETRY: Duration = Duration::from_millis(400);
+const PUBLISH_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// How often entries of silent instances are looked for.
-const LOOK_FOR_DEAD: Duration = Duration::from_secs(20);
+const DEAD_CHECK_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Publishes this instance, and again whenever its entry was dropped.
 pub async fn keep_published(shared: &Shared, entry: &Entry) {
@@ -27,10 +27,10 @@
 /// Drops entries of instances that have been silent for long. Among few instances the one
 /// that reads the list of instances does so, among many each aggregator for its failure
 /// domain.
-pub async fn drop_dead(shared: &Shared) {
+pub async fn drop_dead_entries(shared: &Shared) {
     let own = &shared.settings.instance;
     loop {
-        sleep(LOOK_FOR_DEAD).await;
+        sleep(DEAD_CHECK_INTERVAL).await;
         let now = clock::now();
         let known = follow::own(shared, Topic::Instances);
         let (many, drops) = match role(shared) {
@@ -42,8 +42,8 @@
             continue;
         }
         let dead = shared
-            .fellows
-            .dead(&shared.readers.borrow(), own, many, now);
+            .peers
+            .expired(&shared.readers.borrow(), own, many, now);
         for name in dead {
             let put = shared.store.put(Topic::Instances, &name, b"");
             match put.await {
@@ -61,16 +61,16 @@
         let put = shared.store.put(Topic::Instances, name, value.as_bytes());
         match put.await {
             Ok(()) => {
-                shared.meters.store_called("put");
+                shared.metrics.record_store_call("put");
                 log::info!(address:% = entry.address; "instance published");
                 return;
             }
             // The record may stand all the same; writing it twice changes nothing.
             Err(error) => {
-                shared.meters.store_called("failed");
+                shared.metrics.record_store_call("failed");
                 log::warn!(error:%; "instance not published");
             }
         }
-        sleep(PUBLISH_RETRY).await;
+        sleep(PUBLISH_RETRY_DELAY).await;
     }
 }
--- a/crates/proxy/src/gossip/tell.rs
+++ b/crates/proxy/src/gossip/report.rs
@@ -1,10 +1,10 @@
 //! What an instance says of its load and its knowledge.
 
 use {
-    super::{links, role},
+    super::{connections, role},
     crate::{
         clock,
-        message::{Answer, Message, RawChanges, RawWord, Report, Row, Sum, row},
+        message::{Answer, Message, RawChanges, RawWatermark, Report, Row, Sum, row},
         prelude::*,
         topic,
     },
@@ -18,35 +18,35 @@
 
 /// Shortest pause between two reports. A request is placed on what the others reported
 /// last, so it is a few times shorter than the time between two arrivals at a quiet hour.
-const SHORTEST: Duration = Duration::from_millis(25);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The same for a member, which has a fraction of the load.
-const SHORTEST_OF_MEMBER: Duration = Duration::from_millis(50);
+const MEMBER_MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest pause between two reports. What a report says of knowledge is proved by the
 /// number that it echoes, so two pauses add to the age of knowledge.
-const LONGEST: Duration = Duration::from_millis(250);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause between two whole sums of an aggregator.
-const SUM_PAUSE: Duration = Duration::from_millis(120);
+const SUM_INTERVAL: Duration = Duration::from_millis(120);
 
 /// Time in which rows that have grown are gathered before they are told.
-const GATHERING: Duration = Duration::from_millis(8);
+const GROWN_ROWS_DELAY: Duration = Duration::from_millis(8);
 
 /// Datagrams of one answer; what does not fit follows with the next one.
-const MOST_PARTS: usize = 4;
+const MAX_ANSWER_DATAGRAMS: usize = 4;
 
 /// Age of an aggregator's rows that is recent enough for a choice.
-const RECENT: Duration = Duration::from_millis(20);
+const RECENT_ROWS_AGE: Duration = Duration::from_millis(20);
 
 /// Longest time that a choice waits for newer rows; an answer takes some milliseconds.
-const REFRESH_WAIT: Duration = Duration::from_millis(15);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Endpoints in one report, the busiest first, so that it fits into a datagram.
-const MOST_ENDPOINTS: usize = 90;
+const MAX_REPORT_ROWS: usize = 90;
 
 /// Rows in one part of a sum or one answer, so that it fits into a datagram.
-const MOST_ROWS: usize = 64;
+const MAX_DATAGRAM_ROWS: usize = 64;
 
 /// Tells for ever.
 pub async fn run(shared: &Shared, datagrams: &DatagramSocket) {
@@ -55,11 +55,17 @@
         let role = role(shared);
         match role {
             Role::Aggregator => sum_due(shared, whole_at).await,
-            Role::Equal => changed(shared, LONGEST.saturating_sub(SHORTEST)).await,
-            Role::Member => due(shared).await,
+            Role::Equal => {
+                load_changed(
+                    shared,
+                    MAX_REPORT_INTERVAL.saturating_sub(MIN_REPORT_INTERVAL),
+                )
+                .await
+            }
+            Role::Member => report_due(shared).await,
         }
-        links::settle(shared, datagrams);
-        shared.settle(role);
+        connections::skip_unresponsive(shared, datagrams);
+        shared.select_load_source(role);
         let loads = own_loads(shared);
         let links = shared.links();
         match role {
@@ -67,7 +73,7 @@
                 let now = clock::now();
                 let is_whole = now >= whole_at;
                 if is_whole {
-                    whole_at = now.after(SUM_PAUSE);
+                    whole_at = now.after(SUM_INTERVAL);
                 }
                 shared.publish(loads.clone());
                 report(shared, datagrams, &links, &loads);
@@ -75,7 +81,7 @@
             }
             Role::Equal => {
                 report(shared, datagrams, &links, &loads);
-                sleep(SHORTEST).await;
+                sleep(MIN_REPORT_INTERVAL).await;
             }
             Role::Member => report(shared, datagrams, &links, &loads),
         }
@@ -88,7 +94,7 @@
     let left = whole_at.since(clock::now());
     let now = timeout(left, shared.report_now.notified());
     if now.await.is_ok() {
-        sleep(GATHERING).await;
+        sleep(GROWN_ROWS_DELAY).await;
     }
 }
 
@@ -98,29 +104,36 @@
 /// those that choose within the same quarter of a second take the same engine.
 pub async fn refresh(shared: &Shared) {
     let now = clock::now();
-    if role(shared) != Role::Member || shared.state.borrow().sums.views.is_recent(now, RECENT) {
+    if role(shared) != Role::Member
+        || shared
+            .state
+            .borrow()
+            .sums
+            .views
+            .is_recent(now, RECENT_ROWS_AGE)
+    {
         return;
     }
-    let told = shared.told.notified();
+    let rows_received = shared.rows_received.notified();
     shared.report_now.notify_one();
-    let _told = timeout(REFRESH_WAIT, told).await;
+    let _received = timeout(REFRESH_TIMEOUT, rows_received).await;
 }
 
 /// Waits until a member's next report is due: at once if it cannot wait, else when the load
 /// has changed and some time has passed since the last one.
-async fn due(shared: &Shared) {
-    let now = timeout(SHORTEST_OF_MEMBER, shared.report_now.notified());
+async fn report_due(shared: &Shared) {
+    let now = timeout(MEMBER_MIN_REPORT_INTERVAL, shared.report_now.notified());
     if now.await.is_ok() {
         return;
     }
     tokio::select! {
-        () = changed(shared, LONGEST.saturating_sub(SHORTEST_OF_MEMBER)) => {}
+        () = load_changed(shared, MAX_REPORT_INTERVAL.saturating_sub(MEMBER_MIN_REPORT_INTERVAL)) => {}
         () = shared.report_now.notified() => {}
     }
 }
 
 /// Waits until the load has changed, for a bounded time.
-async fn changed(shared: &Shared, most: Duration) {
+async fn load_changed(shared: &Shared, most: Duration) {
     let _changed = timeout(most, shared.load.notified()).await;
 }
 
@@ -128,7 +141,7 @@
 fn own_loads(shared: &Shared) -> load::Report {
     let mut loads = shared.state.borrow().report();
     loads.sort_by_key(|(_, load)| std::cmp::Reverse(load.tokens));
-    loads.truncate(MOST_ENDPOINTS);
+    loads.truncate(MAX_REPORT_ROWS);
     let mut loads = loads
         .into_iter()
         .map(|(id, load)| (digest(&id), load))
@@ -138,13 +151,13 @@
 }
 
 /// What this instance says of its knowledge of each topic.
-fn words(shared: &Shared) -> [RawWord; TOPICS] {
+fn watermarks(shared: &Shared) -> [RawWatermark; TOPICS] {
     topic::ALL.map(|topic| {
-        let word = shared.topic(topic).word();
-        let age = word
+        let watermark = shared.topic(topic).watermark();
+        let age = watermark
             .age
             .map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
-        (age, word.position)
+        (age, watermark.position)
     })
 }
 
@@ -157,22 +170,22 @@
     let rows = loads.iter().copied().map(row).collect::<Vec<_>>();
     let mut report = Report {
         echo: (0, 0),
-        holds: None,
-        life: shared.life,
+        held_version: None,
+        incarnation: shared.incarnation,
         loads: rows,
         name: shared.settings.instance.name.clone(),
         number,
-        words: words(shared),
+        watermarks: watermarks(shared),
     };
     let mut reported = false;
     for link in links.iter().filter(|link| link.near || !many) {
         let name = shared.state.borrow().members.name(link.key).to_string();
-        let Some(address) = shared.fellows.address(&name) else {
+        let Some(address) = shared.peers.address(&name) else {
             continue;
         };
-        report.echo = shared.fellows.echo(&name);
+        report.echo = shared.peers.echo(&name);
         if role == Role::Member {
-            report.holds = shared.held(&name, now);
+            report.held_version = shared.held_version(&name, now);
         }
         if many && !reported {
             let mut state = shared.state.borrow_mut();
@@ -180,7 +193,7 @@
             reported = true;
         }
         if many {
-            shared.asked(datagrams, link.key, address);
+            shared.expect_answer(datagrams, link.key, address);
         }
         send(datagrams, address, &Message::Report(report.clone()));
     }
@@ -199,35 +212,35 @@
     let mut names = shared.state.borrow().sums.domains.senders();
     for link in links.iter().filter(|link| !link.near) {
         let name = shared.state.borrow().members.name(link.key).to_string();
-        if let Some(address) = shared.fellows.address(&name) {
-            shared.asked(datagrams, link.key, address);
+        if let Some(address) = shared.peers.address(&name) {
+            shared.expect_answer(datagrams, link.key, address);
         }
         names.push(name);
     }
     names.sort_unstable();
     names.dedup();
-    let (loads, members) = shared.domain_sum(own, now);
+    let (loads, members) = shared.domain_load(own, now);
     let grown = shared.grown.take();
     let parts = if is_whole {
         parts(&loads)
     } else {
         grown_rows(&loads, grown, own)
     };
-    let words = words(shared);
+    let watermarks = watermarks(shared);
     for name in names {
-        let Some(address) = shared.fellows.address(&name) else {
+        let Some(address) = shared.peers.address(&name) else {
             continue;
         };
         for (covers, rows) in parts.clone() {
             let sum = Sum {
                 covers,
-                echo: shared.fellows.echo(&name),
-                life: shared.life,
+                echo: shared.peers.echo(&name),
+                incarnation: shared.incarnation,
                 loads: rows,
                 members,
                 name: shared.settings.instance.name.clone(),
                 number: now.micros(),
-                words,
+                watermarks,
             };
             send(datagrams, address, &Message::Sum(sum));
         }
@@ -236,10 +249,10 @@
 
 /// A part of a sum: the digests that it covers, if it is not only of changed rows, and the
 /// rows.
-type RawPart = (Option<(u32, u32)>, Vec<Row>);
+type SumRows = (Option<(u32, u32)>, Vec<Row>);
 
 /// The rows at which work has begun, this instance's own among them.
-fn grown_rows(loads: &load::Report, mut grown: Vec<u32>, own: &load::Report) -> Vec<RawPart> {
+fn grown_rows(loads: &load::Report, mut grown: Vec<u32>, own: &load::Report) -> Vec<SumRows> {
     grown.extend(own.iter().map(|(digest, _)| *digest));
     grown.sort_unstable();
     grown.dedup();
@@ -249,16 +262,16 @@
         .copied()
         .map(row)
         .collect::<Vec<_>>();
-    rows.chunks(MOST_ROWS)
+    rows.chunks(MAX_DATAGRAM_ROWS)
         .map(|rows| (None, rows.to_vec()))
         .collect()
 }
 
 /// Cuts sorted rows into parts that fit into datagrams, each with the digests it covers.
-fn parts(loads: &load::Report) -> Vec<RawPart> {
+fn parts(loads: &load::Report) -> Vec<SumRows> {
     let mut parts = Vec::new();
     let mut from = 0;
-    let mut chunks = loads.chunks(MOST_ROWS).peekable();
+    let mut chunks = loads.chunks(MAX_DATAGRAM_ROWS).peekable();
     while let Some(chunk) = chunks.next() {
         let next = chunks.peek().and_then(|next| next.first());
         let to = next.map_or(u32::MAX, |(digest, _)| digest - 1);
@@ -273,30 +286,39 @@
 
 /// Answers the report of a member.
 pub fn answer(shared: &Shared, datagrams: &DatagramSocket, report: &Report) {
-    let Some(address) = shared.fellows.address(&report.name) else {
+    let Some(address) = shared.peers.address(&report.name) else {
         return;
     };
     let now = clock::now();
     let mut answer = Answer {
         changes: None,
-        echo: (report.life, report.number),
-        life: shared.life,
-        members: shared.speaks_for(now),
+        echo: (report.incarnation, report.number),
+        incarnation: shared.incarnation,
+        members: shared.reporting_instances(now),
         name: shared.settings.instance.name.clone(),
         number: now.micros(),
-        words: words(shared),
+        watermarks: watermarks(shared),
     };
-    let Some((life, version)) = report.holds else {
+    let Some((incarnation, version)) = report.held_version else {
         send(datagrams, address, &Message::Answer(answer));
         return;
     };
-    let mut version = if life == shared.life { version } else { 0 };
-    for _ in 0..MOST_PARTS {
-        let changes = shared.state.borrow().sums.table.changes(version, MOST_ROWS);
-        let complete = changes.rows.len() < MOST_ROWS;
+    let mut version = if incarnation == shared.incarnation {
+        version
+    } else {
+        0
+    };
+    for _ in 0..MAX_ANSWER_DATAGRAMS {
+        let changes = shared
+            .state
+            .borrow()
+            .sums
+            .table
+            .changes(version, MAX_DATAGRAM_ROWS);
+        let complete = changes.rows.len() < MAX_DATAGRAM_ROWS;
         version = changes.version;
         answer.changes = Some(RawChanges {
-            anew: changes.anew,
+            reset: changes.anew,
             loads: changes.rows.into_iter().map(row).collect(),
             version,
         });
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,19 +4,19 @@
 //! be done at the present time and carries it out; nothing is decided here.
 
 pub mod apply;
+pub mod buffered;
 pub mod clock;
 pub mod error;
 pub mod exchange;
-pub mod fellows;
 pub mod follow;
 pub mod gossip;
-pub mod inquire;
 pub mod listen;
 pub mod logging;
 pub mod message;
-pub mod meters;
-pub mod plain;
+pub mod metrics;
+pub mod peers;
 pub mod prelude;
+pub mod probe;
 pub mod progress;
 pub mod relay;
 pub mod relocate;
@@ -25,7 +25,7 @@
 pub mod settings;
 pub mod shared;
 pub mod stream;
+pub mod takeover;
 pub mod topic;
-pub mod transfer;
 
 pub use {error::Error, serve::run, settings::Settings};
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -1,7 +1,7 @@
 //! Listeners for callers, for the question of readiness, and for metrics.
 
 use {
-    crate::{clock, exchange::Original, follow, plain, prelude::*, reply, stream},
+    crate::{buffered, clock, exchange::Original, follow, prelude::*, reply, stream},
     forward::request::Ticket,
     http_body_util::{BodyExt as _, LengthLimitError, Limited},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
@@ -12,7 +12,7 @@
 };
 
 /// Longest pause after a connection could not be accepted, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What answers on a listener.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -27,16 +27,16 @@
 
 /// A request in progress, counted until it is dropped.
 #[derive(Debug)]
-pub struct Busy(Rc<Shared>);
+pub struct RequestGuard(Rc<Shared>);
 
-impl Busy {
+impl RequestGuard {
     fn new(shared: &Rc<Shared>) -> Self {
         shared.in_progress.set(shared.in_progress.get() + 1);
         Self(Rc::clone(shared))
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.in_progress.set(self.0.in_progress.get() - 1);
     }
@@ -51,7 +51,7 @@
             }
             Err(error) => {
                 log::warn!(error:%; "connection not accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -70,7 +70,7 @@
     };
     let service = {
         let shared = Rc::clone(&shared);
-        service_fn(move |request| answer(Rc::clone(&shared), request, role))
+        service_fn(move |request| handle(Rc::clone(&shared), request, role))
     };
     let mut builder = http1::Builder::new();
     // The library counts the time of a head from the end of the request before, so the
@@ -93,17 +93,17 @@
     }
 }
 
-async fn answer(
+async fn handle(
     shared: Rc<Shared>,
     request: Request<Incoming>,
     role: Role,
 ) -> Result<Reply, Infallible> {
     Ok(match role {
-        Role::Callers => caller(&shared, request).await,
+        Role::Callers => handle_caller(&shared, request).await,
         Role::Metrics => reply::whole(
             StatusCode::OK,
             http::HeaderMap::new(),
-            shared.meters.text().into(),
+            shared.metrics.render().into(),
         ),
         Role::Ready if ready(&shared) => reply::empty(StatusCode::OK),
         Role::Ready => reply::empty(StatusCode::SERVICE_UNAVAILABLE),
@@ -117,9 +117,9 @@
     !shared.draining.get() && state.ready(now)
 }
 
-async fn caller(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply {
+async fn handle_caller(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply {
     let arrived = clock::now();
-    let busy = Busy::new(shared);
+    let guard = RequestGuard::new(shared);
     let (parts, body) = request.into_parts();
     // What follows a body in chunks on its connection may have been meant as part of it,
     // if the sender also gave a length; the library keeps only one of the two.
@@ -127,7 +127,7 @@
     let (mut reply, id) = match head::inbound(&parts, arrived) {
         Ok(inbound) => {
             let id = inbound.id.clone();
-            (serve(shared, parts, inbound, body, busy).await, id)
+            (serve(shared, parts, inbound, body, guard).await, id)
         }
         Err(header) => {
             log::info!(header; "request without a proper header");
@@ -144,7 +144,7 @@
 
 /// What the log says of a request's route, once it is known.
 #[derive(Debug, Default)]
-struct RouteNote {
+struct RouteInfo {
     name: String,
     target: Duration,
 }
@@ -154,13 +154,13 @@
     parts: Parts,
     inbound: Inbound,
     body: Incoming,
-    busy: Busy,
+    guard: RequestGuard,
 ) -> Reply {
     let id = inbound.id.clone();
     let arrived = inbound.arrived;
     let path = inbound.path.clone();
-    let mut route = RouteNote::default();
-    let result = forward(shared, parts, inbound, body, busy, &mut route).await;
+    let mut route = RouteInfo::default();
+    let result = forward(shared, parts, inbound, body, guard, &mut route).await;
     let (outcome, reply, streaming) = match result {
         Ok(reply) => {
             let streaming = matches!(reply.body(), Body::Parts(_));
@@ -178,7 +178,7 @@
         ms = took.as_millis(), target_ms = route.target.as_millis(),
         config_age_ms = age.unwrap_or(Duration::MAX).as_millis(); "request ended"
     );
-    shared.meters.ended(&route.name, outcome, took);
+    shared.metrics.record_end(&route.name, outcome, took);
     reply
 }
 
@@ -187,10 +187,10 @@
     parts: Parts,
     inbound: Inbound,
     body: Incoming,
-    busy: Busy,
-    route: &mut RouteNote,
+    guard: RequestGuard,
+    route: &mut RouteInfo,
 ) -> Result<Reply, Refusal> {
-    let body = whole(shared, body).await?;
+    let body = read_body(shared, body).await?;
     let now = clock::now();
     let ticket = admit(shared, &inbound).await?;
     route.name.clone_from(&ticket.route.name);
@@ -202,9 +202,9 @@
         parts,
     };
     if ticket.route.kind == Kind::Stream {
-        return stream::serve(shared, &Rc::new(original), ticket, busy).await;
+        return stream::serve(shared, &Rc::new(original), ticket, guard).await;
     }
-    plain::serve(shared, &original, ticket).await
+    buffered::serve(shared, &original, ticket).await
 }
 
 /// Admits a request; if only the age of what is known stands against it, after a read that
@@ -220,7 +220,7 @@
 }
 
 /// Reads a body in whole, so that nothing of it can be taken for another request.
-async fn whole(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
+async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
     let most = {
         let state = shared.state.borrow();
         state
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -18,7 +18,7 @@
 };
 
 /// Lines that wait to be written; at some 300 bytes a line about a megabyte.
-const MOST_WAITING: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 
 /// Lines that were dropped since the start.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -31,12 +31,12 @@
 
 /// Starts logging at `level` and above.
 pub fn start(level: log::LevelFilter, instance: &str) {
-    let (sender, receiver) = mpsc::sync_channel(MOST_WAITING);
+    let (sender, receiver) = mpsc::sync_channel(MAX_QUEUED_LINES);
     thread::spawn(move || write(&receiver));
     let instance = instance.to_string();
     env_logger::Builder::new()
         .filter_level(level)
-        .target(env_logger::Target::Pipe(Box::new(Pipe { sender })))
+        .target(env_logger::Target::Pipe(Box::new(ChannelWriter { sender })))
         .write_style(env_logger::WriteStyle::Never)
         .format(move |buffer, record| {
             let mut line = Line(Map::new());
@@ -99,11 +99,11 @@
 }
 
 /// Hands lines to the writing thread.
-struct Pipe {
+struct ChannelWriter {
     sender: SyncSender<Vec<u8>>,
 }
 
-impl Write for Pipe {
+impl Write for ChannelWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if self.sender.try_send(buf.to_vec()).is_err() {
             DROPPED.fetch_add(1, Ordering::Relaxed);
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -8,10 +8,10 @@
 
 /// Effort of packing records, 0 to 10. The least that finds repetitions makes a fifth of a
 /// configuration; more effort takes longer than it saves on the link.
-const PACKING: u8 = 1;
+const DEFLATE_LEVEL: u8 = 1;
 
 /// Most bytes of a batch of records once unpacked; a read brings a megabyte at most.
-const MOST_UNPACKED: usize = 4 << 20;
+const MAX_BATCH_BYTES: usize = 4 << 20;
 
 /// What instances say to each other.
 #[derive(Debug, Deserialize, Serialize)]
@@ -32,7 +32,7 @@
 pub type Row = (u32, u32, u32, u32, u32);
 
 /// Age in milliseconds, if anything is known, and position.
-pub type RawWord = (Option<u32>, u64);
+pub type RawWatermark = (Option<u32>, u64);
 
 /// What an instance has in progress and knows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -41,7 +41,7 @@
     /// was true after that number was given out, however long this message is on its way.
     pub echo: (u64, u64),
     /// Drawn at the start of the sender's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it has in progress at endpoints.
     pub loads: Vec<Row>,
     /// Its name.
@@ -50,9 +50,9 @@
     pub number: u64,
     /// Life of the aggregator and version of its sums that the sender holds, if it wants the
     /// rows that have changed since.
-    pub holds: Option<(u64, u64)>,
+    pub held_version: Option<(u64, u64)>,
     /// What it knows of each topic.
-    pub words: [RawWord; TOPICS],
+    pub watermarks: [RawWatermark; TOPICS],
 }
 
 /// The load that instances of a failure domain have at endpoints, or a part of it.
@@ -63,7 +63,7 @@
     /// As in a [`Report`].
     pub echo: (u64, u64),
     /// As in a [`Report`].
-    pub life: u64,
+    pub incarnation: u64,
     /// Load of the domain, the sender's own included.
     pub loads: Vec<Row>,
     /// Instances that it is made of.
@@ -73,7 +73,7 @@
     /// As in a [`Report`].
     pub number: u64,
     /// As in a [`Report`].
-    pub words: [RawWord; TOPICS],
+    pub watermarks: [RawWatermark; TOPICS],
 }
 
 /// An aggregator's answer to a report.
@@ -84,7 +84,7 @@
     /// Life and number of the report.
     pub echo: (u64, u64),
     /// As in a [`Report`].
-    pub life: u64,
+    pub incarnation: u64,
     /// Instances that report to the aggregator, itself included.
     pub members: u32,
     /// As in a [`Report`].
@@ -92,14 +92,14 @@
     /// As in a [`Report`].
     pub number: u64,
     /// As in a [`Report`].
-    pub words: [RawWord; TOPICS],
+    pub watermarks: [RawWatermark; TOPICS],
 }
 
 /// Rows of an aggregator's table that have changed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RawChanges {
     /// Whether what was held before is to be forgotten.
-    pub anew: bool,
+    pub reset: bool,
     /// The rows.
     pub loads: Vec<Row>,
     /// Version with these rows.
@@ -165,9 +165,9 @@
 impl Batch {
     /// Packs it for the way to fellows.
     #[must_use]
-    pub fn pack(&self) -> Option<Message> {
+    pub fn compress(&self) -> Option<Message> {
         let data = encode(self)?;
-        let packed = miniz_oxide::deflate::compress_to_vec(&data, PACKING);
+        let packed = miniz_oxide::deflate::compress_to_vec(&data, DEFLATE_LEVEL);
         Some(Message::Records(packed))
     }
 
@@ -176,8 +176,8 @@
     /// # Errors
     ///
     /// The data is no batch, or too large once unpacked.
-    pub fn unpack(data: &[u8]) -> Result<Self, String> {
-        let data = miniz_oxide::inflate::decompress_to_vec_with_limit(data, MOST_UNPACKED);
+    pub fn decompress(data: &[u8]) -> Result<Self, String> {
+        let data = miniz_oxide::inflate::decompress_to_vec_with_limit(data, MAX_BATCH_BYTES);
         let data = data.map_err(|error| error.to_string())?;
         postcard::from_bytes(&data).map_err(|error| error.to_string())
     }
--- a/crates/proxy/src/meters.rs
+++ b/crates/proxy/src/metrics.rs
@@ -11,13 +11,13 @@
 };
 
 /// Bounds of latency histograms, in seconds; the targets lie between 0.1 and 2.
-const BOUNDS: [f64; 12] = [
+const LATENCY_BUCKETS_SECONDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8,
 ];
 
 /// Everything that is exported.
 #[derive(Debug)]
-pub struct Meters {
+pub struct Metrics {
     endings: Counter<u64>,
     first_event: Histogram<f64>,
     loop_late: Histogram<f64>,
@@ -29,7 +29,7 @@
     _provider: SdkMeterProvider,
 }
 
-impl Meters {
+impl Metrics {
     /// Registers all metrics.
     ///
     /// # Errors
@@ -48,7 +48,9 @@
         };
         let histogram = |name: &'static str, help: &'static str| {
             let builder = meter.f64_histogram(name).with_description(help);
-            builder.with_boundaries(BOUNDS.to_vec()).build()
+            builder
+                .with_boundaries(LATENCY_BUCKETS_SECONDS.to_vec())
+                .build()
         };
         meter
             .u64_observable_counter("log_lines_dropped")
@@ -72,7 +74,7 @@
     }
 
     /// A request has ended.
-    pub fn ended(&self, route: &str, outcome: &str, took: Duration) {
+    pub fn record_end(&self, route: &str, outcome: &str, took: Duration) {
         let labels = [
             KeyValue::new("route", route.to_string()),
             KeyValue::new("outcome", outcome.to_string()),
@@ -82,35 +84,35 @@
     }
 
     /// The first event of a stream went out.
-    pub fn first_event(&self, took: Duration) {
+    pub fn record_first_event(&self, took: Duration) {
         self.first_event.record(took.as_secs_f64(), &[]);
     }
 
     /// The loop's timer came this late.
-    pub fn looped(&self, late: Duration) {
+    pub fn record_loop_lateness(&self, late: Duration) {
         self.loop_late.record(late.as_secs_f64(), &[]);
     }
 
     /// A generation went on elsewhere, or did not.
-    pub fn moved(&self, outcome: &'static str) {
+    pub fn record_move(&self, outcome: &'static str) {
         self.moves.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// A request was sent to an endpoint.
-    pub fn sent(&self, again: bool) {
-        let order = if again { "second" } else { "first" };
+    pub fn record_send(&self, is_retry: bool) {
+        let order = if is_retry { "second" } else { "first" };
         self.sends.add(1, &[KeyValue::new("order", order)]);
     }
 
     /// The store was called.
-    pub fn store_called(&self, outcome: &'static str) {
+    pub fn record_store_call(&self, outcome: &'static str) {
         self.store_calls
             .add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Prometheus text.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             log::warn!(error:%; "metrics cannot be written");
--- a/crates/proxy/src/inquire.rs
+++ b/crates/proxy/src/probe.rs
@@ -7,30 +7,30 @@
 };
 
 /// How often it is looked which engines are to be asked.
-const LOOK: Duration = Duration::from_millis(100);
+const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long an answer is waited for; it needs no place at the engine.
-const ANSWER_WAIT: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Answers list an engine's runs, some 60 bytes each.
-const MOST_ANSWER: usize = 1 << 18;
+const MAX_ANSWER_BYTES: usize = 1 << 18;
 
 /// Asks for ever.
 pub async fn run(shared: Rc<Shared>) {
     loop {
-        sleep(LOOK).await;
+        sleep(PROBE_POLL_INTERVAL).await;
         let due = shared.state.borrow_mut().inquiries(clock::now());
         for key in due {
-            spawn_local(ask(Rc::clone(&shared), key));
+            spawn_local(probe_engine(Rc::clone(&shared), key));
         }
     }
 }
 
-async fn ask(shared: Rc<Shared>, key: EndpointKey) {
-    let Some((address, endpoint)) = shared.target(key) else {
+async fn probe_engine(shared: Rc<Shared>, key: EndpointKey) {
+    let Some((address, endpoint)) = shared.endpoint_address(key) else {
         return;
     };
-    let asked = timeout(ANSWER_WAIT, answer(&shared, address));
+    let asked = timeout(ANSWER_TIMEOUT, answer(&shared, address));
     let answered = asked
         .await
         .unwrap_or_else(|_| Err("no answer in time".to_string()));
@@ -56,7 +56,7 @@
     let answer = shared.client.send(&address.to_string(), request).await;
     let answer = answer.map_err(|error| error.to_string())?;
     let status = answer.status();
-    let body = answer.whole(MOST_ANSWER).await;
+    let body = answer.whole(MAX_ANSWER_BYTES).await;
     let body = body.map_err(|error| error.to_string())?;
     engine::leaves(status, &body).map_err(|error| error.to_string())
 }
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/progress.rs
@@ -6,7 +6,7 @@
 };
 
 /// Sends of one request, those that endpoints turned down included.
-const MOST_SENDS: u32 = 4;
+const MAX_SENDS: u32 = 4;
 
 /// What has come of a request that is not answered yet.
 #[derive(Debug, Default)]
@@ -25,14 +25,14 @@
 
 impl Progress {
     /// An endpoint may have run the request, and there is no answer to pass on.
-    pub fn ran(&mut self, key: EndpointKey, why: String) {
+    pub fn note_run(&mut self, key: EndpointKey, why: String) {
         self.runs += 1;
         self.tried.push(key);
         self.why = why;
     }
 
     /// An endpoint said that it did not run the request.
-    pub fn turned_down(&mut self, key: EndpointKey, why: String) {
+    pub fn note_rejected(&mut self, key: EndpointKey, why: String) {
         self.tried.push(key);
         self.why = why;
     }
@@ -46,7 +46,7 @@
         }
         let now = clock::now();
         let allowed = |state: &mut forward::State| state.budget.allows(&ticket.service, now);
-        self.sends == 0 || (self.sends < MOST_SENDS && allowed(&mut shared.state.borrow_mut()))
+        self.sends == 0 || (self.sends < MAX_SENDS && allowed(&mut shared.state.borrow_mut()))
     }
 
     /// How the request ends without a success: with an endpoint's own failure, or the truthful
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// No endpoint has answered.
-    pub fn end(&mut self, id: &str, refusal: Refusal) -> Result<Reply, Refusal> {
+    pub fn finish(&mut self, id: &str, refusal: Refusal) -> Result<Reply, Refusal> {
         let failure = self.failure.take();
         failure.ok_or_else(|| self.give_up(id, refusal))
     }
@@ -63,15 +63,15 @@
     /// Gives the request up with the truthful refusal, whatever the last reason was.
     #[must_use]
     pub fn give_up(&self, id: &str, refusal: Refusal) -> Refusal {
-        let truthful = match refusal {
+        let reported = match refusal {
             refusal if self.runs == 0 => refusal,
             Refusal::Expired | Refusal::TimedOut => Refusal::TimedOut,
             _ => Refusal::Broken,
         };
         log::info!(
             id, sends = self.sends, runs = self.runs, why = self.why,
-            outcome = truthful.label(); "given up"
+            outcome = reported.label(); "given up"
         );
-        truthful
+        reported
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,18 +1,18 @@
 //! Streams of events: from the first event to the end, across moves and lost engines.
 
-mod loss;
+mod failover;
 
 use {
     crate::{
         clock,
         exchange::Original,
-        listen::Busy,
+        listen::RequestGuard,
         prelude::*,
         progress::Progress,
         relocate::Takeover,
         reply::Part,
-        shared::Running,
-        transfer::{Relocated, Source, Transfer},
+        shared::RunGuard,
+        takeover::{EventSource, TakeoverContext, TakeoverOutcome},
     },
     endpoint::sse,
     forward::{request::Ticket, sequence::Sequence},
@@ -23,28 +23,28 @@
 /// Silence after which an engine is asked whether it still has the run. Events come some
 /// 30 ms apart, and pauses over 180 ms already count as late; a preempted run may pause
 /// longer, so the engine is asked before anything else is tried.
-const SILENCE: Duration = Duration::from_millis(600);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Part of the longest pause that a route allows after which a stream goes on at the engine
 /// with its copy. When the way to an engine is cut without a reset, nothing is heard of it:
 /// events just stop. The other engine needs some 25 ms, so callers see no late event.
-const QUIET_SHARE: f64 = 0.5;
+const QUIET_GAP_SHARE: f64 = 0.5;
 
 /// Longest pause between events where a route names none.
-const USUAL_GAP: Duration = Duration::from_millis(180);
+const DEFAULT_MAX_GAP: Duration = Duration::from_millis(180);
 
 /// Longest time that a caller may take to read before it counts as gone.
-const SLOW_READER: Duration = Duration::from_secs(5);
+const CALLER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A move in progress.
-type Moving = Pin<Box<dyn Future<Output = Relocated>>>;
+type PendingMove = Pin<Box<dyn Future<Output = TakeoverOutcome>>>;
 
 /// A stream on its way to the caller.
 #[derive(Debug)]
 pub struct Relay {
     /// Whether the engine with the copy was asked in this silence.
-    asked_copy: bool,
-    busy: Option<Busy>,
+    backup_asked: bool,
+    guard: Option<RequestGuard>,
     first: Duration,
     last_at: Time,
     last_event: Rc<RefCell<Option<String>>>,
@@ -55,19 +55,19 @@
     quiet_since: Time,
     out: mpsc::Sender<Part>,
     progress: Progress,
-    running: Running,
+    running: RunGuard,
     sequence: Sequence,
     shared: Rc<Shared>,
-    source: Source,
+    source: EventSource,
     takeovers: u32,
     ticket: Ticket,
 }
 
 /// What a stream begins with.
 #[derive(Debug)]
-pub struct Start {
+pub struct RelayStart {
     /// Counts the request as in progress.
-    pub busy: Option<Busy>,
+    pub guard: Option<RequestGuard>,
     /// The caller's request.
     pub original: Rc<Original>,
     /// Where events go.
@@ -75,9 +75,9 @@
     /// What has come of the request so far.
     pub progress: Progress,
     /// The run at its engine.
-    pub running: Running,
+    pub running: RunGuard,
     /// Where events come from.
-    pub source: Source,
+    pub source: EventSource,
     /// The request's ticket.
     pub ticket: Ticket,
 }
@@ -89,7 +89,7 @@
     Ended,
     Expired,
     Lost(String),
-    Moved(Relocated),
+    Moved(TakeoverOutcome),
     /// No event for a part of the pause that the route allows.
     Quiet,
     /// No event for long.
@@ -118,13 +118,13 @@
 impl Relay {
     /// A stream whose first events are there.
     #[must_use]
-    pub fn new(shared: &Rc<Shared>, start: Start) -> Self {
+    pub fn new(shared: &Rc<Shared>, start: RelayStart) -> Self {
         let now = clock::now();
         let inbound = &start.original.inbound;
         let behind = start.ticket.resumes_behind(inbound);
         Self {
-            asked_copy: false,
-            busy: start.busy,
+            backup_asked: false,
+            guard: start.guard,
             first: now.since(inbound.arrived),
             last_at: now,
             last_event: Rc::new(RefCell::new(behind.map(str::to_string))),
@@ -159,13 +159,13 @@
             outcome = ending.label(), why, events = self.sequence.count(),
             takeovers = self.takeovers, first_ms = self.first.as_millis(),
             target_ms = self.ticket.route.target.as_millis(),
-            gap_ms = self.ticket.route.gap.unwrap_or(USUAL_GAP).as_millis(),
+            gap_ms = self.ticket.route.gap.unwrap_or(DEFAULT_MAX_GAP).as_millis(),
             pause_ms = self.longest_pause.as_millis(), ms = took.as_millis(); "stream ended"
         );
         self.shared
-            .meters
-            .ended(&self.ticket.route.name, ending.label(), took);
-        drop(self.busy.take());
+            .metrics
+            .record_end(&self.ticket.route.name, ending.label(), took);
+        drop(self.guard.take());
     }
 
     async fn relay(&mut self, blocks: Vec<Bytes>, ended: bool) -> Ending {
@@ -175,43 +175,43 @@
         if ended {
             return Ending::Complete;
         }
-        let mut moving = None::<Moving>;
+        let mut pending_move = None::<PendingMove>;
         loop {
-            self.start_move(&mut moving);
-            let step = self.step(&mut moving).await;
-            let went_on = match step {
+            self.start_move(&mut pending_move);
+            let step = self.step(&mut pending_move).await;
+            let result = match step {
                 Step::CallerLeft => return Ending::CallerLeft,
                 Step::Ended => return Ending::Complete,
                 Step::Expired => return Ending::Expired,
                 Step::Events(blocks) => self.pass_on(blocks).await,
-                Step::Lost(why) => self.lost(moving.take(), &why).await,
+                Step::Lost(why) => self.lost(pending_move.take(), &why).await,
                 Step::Moved(moved) => {
-                    moving = None;
+                    pending_move = None;
                     self.moved(moved).await
                 }
                 Step::Quiet => {
-                    self.go_on_at_copy(&mut moving);
+                    self.take_over_at_backup(&mut pending_move);
                     Ok(())
                 }
                 Step::Silent => {
                     self.quiet_since = clock::now();
-                    if moving.is_some() {
+                    if pending_move.is_some() {
                         Ok(())
                     } else {
                         self.silent().await
                     }
                 }
             };
-            if let Err(ending) = went_on {
+            if let Err(ending) = result {
                 return ending;
             }
         }
     }
 
     /// Begins to move the run if its engine is leaving.
-    fn start_move(&mut self, moving: &mut Option<Moving>) {
+    fn start_move(&mut self, pending_move: &mut Option<PendingMove>) {
         let now = clock::now();
-        if moving.is_some() || now < self.next_move || !self.is_leaving() {
+        if pending_move.is_some() || now < self.next_move || !self.is_leaving() {
             return;
         }
         if self.backup_takeover().is_none() && self.ends_soon() {
@@ -219,33 +219,37 @@
             return;
         }
         log::info!(id = self.original.inbound.id, events = self.sequence.count(); "move begins");
-        *moving = Some(Box::pin(self.transfer().relocate(self.backup_takeover())));
+        *pending_move = Some(Box::pin(
+            self.takeover_context().move_run(self.backup_takeover()),
+        ));
     }
 
     /// Asks the engine with the copy to go on, as nothing comes from the run's own.
-    fn go_on_at_copy(&mut self, moving: &mut Option<Moving>) {
-        self.asked_copy = true;
-        if moving.is_some() {
+    fn take_over_at_backup(&mut self, pending_move: &mut Option<PendingMove>) {
+        self.backup_asked = true;
+        if pending_move.is_some() {
             return;
         }
-        if let Some(takeover) = self.sound_takeover() {
-            *moving = Some(Box::pin(self.transfer().go_on(takeover, "quiet")));
+        if let Some(takeover) = self.healthy_takeover() {
+            *pending_move = Some(Box::pin(
+                self.takeover_context().take_over(takeover, "quiet"),
+            ));
         }
     }
 
     /// The copy, if its engine is in good health.
-    fn sound_takeover(&self) -> Option<Takeover> {
-        let sound = {
+    fn healthy_takeover(&self) -> Option<Takeover> {
+        let healthy = {
             let state = self.shared.state.borrow();
             state.sound_backup(clock::now(), self.running.key)
         };
         self.backup_takeover()
-            .filter(|takeover| Some(takeover.key) == sound)
+            .filter(|takeover| Some(takeover.key) == healthy)
     }
 
     /// What a send to another engine needs, without the stream itself.
-    fn transfer(&self) -> Transfer {
-        Transfer {
+    fn takeover_context(&self) -> TakeoverContext {
+        TakeoverContext {
             last_event: Rc::clone(&self.last_event),
             original: Rc::clone(&self.original),
             run: self.running.key,
@@ -262,22 +266,24 @@
         self.shared.state.borrow().must_move(self.running.key)
     }
 
-    async fn step(&mut self, moving: &mut Option<Moving>) -> Step {
+    async fn step(&mut self, pending_move: &mut Option<PendingMove>) -> Step {
         let now = clock::now();
-        let left = self.ticket.expires.since(now);
-        if left.is_zero() {
+        let remaining = self.ticket.expires.since(now);
+        if remaining.is_zero() {
             return Step::Expired;
         }
-        let quiet = self.quiet().filter(|_| !self.asked_copy);
-        let until = self.quiet_since.after(quiet.unwrap_or(SILENCE));
-        let wait = left.min(until.since(now));
+        let quiet_timeout = self.quiet_timeout().filter(|_| !self.backup_asked);
+        let until = self
+            .quiet_since
+            .after(quiet_timeout.unwrap_or(SILENCE_TIMEOUT));
+        let wait = remaining.min(until.since(now));
         tokio::select! {
             biased;
             () = self.out.closed() => Step::CallerLeft,
             part = self.source.answer.part() => self.events(part),
-            moved = ended(moving) => Step::Moved(moved),
-            () = sleep(wait) => match quiet {
-                _ if wait == left => Step::Expired,
+            moved = ended(pending_move) => Step::Moved(moved),
+            () = sleep(wait) => match quiet_timeout {
+                _ if wait == remaining => Step::Expired,
                 Some(_) => Step::Quiet,
                 None => Step::Silent,
             },
@@ -285,19 +291,19 @@
     }
 
     /// Silence after which the engine with the copy is asked.
-    fn quiet(&self) -> Option<Duration> {
-        let gap = self.ticket.route.gap.unwrap_or(USUAL_GAP);
-        Some(gap.mul_f64(QUIET_SHARE)).filter(|quiet| *quiet < SILENCE)
+    fn quiet_timeout(&self) -> Option<Duration> {
+        let gap = self.ticket.route.gap.unwrap_or(DEFAULT_MAX_GAP);
+        Some(gap.mul_f64(QUIET_GAP_SHARE)).filter(|quiet_timeout| *quiet_timeout < SILENCE_TIMEOUT)
     }
 
     fn events(&mut self, part: Result<Option<Bytes>, endpoint::Error>) -> Step {
         match part {
             Err(error) => Step::Lost(error.to_string()),
-            Ok(None) if self.source.cutter.unfinished() => {
+            Ok(None) if self.source.splitter.unfinished() => {
                 Step::Lost("ended inside an event".to_string())
             }
             Ok(None) => Step::Ended,
-            Ok(Some(part)) => match self.source.cutter.feed(part) {
+            Ok(Some(part)) => match self.source.splitter.feed(part) {
                 Ok(blocks) => Step::Events(blocks),
                 Err(error) => Step::Lost(error.to_string()),
             },
@@ -312,7 +318,7 @@
             if self.sequence.broken() {
                 return Err(Ending::Lost("an event is missing".to_string()));
             }
-            let sent = timeout(SLOW_READER, self.out.send(Part::Data(block))).await;
+            let sent = timeout(CALLER_READ_TIMEOUT, self.out.send(Part::Data(block))).await;
             if !matches!(sent, Ok(Ok(()))) {
                 return Err(Ending::CallerLeft);
             }
@@ -321,7 +327,7 @@
             .replace(self.sequence.last().map(str::to_string));
         let now = clock::now();
         self.quiet_since = now;
-        self.asked_copy = false;
+        self.backup_asked = false;
         self.longest_pause = self.longest_pause.max(now.since(self.last_at));
         self.last_at = now;
         if let Some(run) = self.shared.state.borrow_mut().run_mut(self.running.key) {
@@ -332,9 +338,9 @@
 }
 
 /// The end of a move, if one is in progress.
-async fn ended(moving: &mut Option<Moving>) -> Relocated {
-    match moving {
-        Some(moving) => moving.await,
+async fn ended(pending_move: &mut Option<PendingMove>) -> TakeoverOutcome {
+    match pending_move {
+        Some(pending_move) => pending_move.await,
         None => std::future::pending().await,
     }
 }
--- a/crates/proxy/src/relocate.rs
+++ b/crates/proxy/src/relocate.rs
@@ -7,14 +7,14 @@
 
 /// Longest time for a copy: 4,000 tokens take 0.44 s between failure domains, and
 /// several may be queued on a link.
-pub const MOVE_WAIT: Duration = Duration::from_millis(1800);
+pub const MOVE_TIMEOUT: Duration = Duration::from_millis(1800);
 
 /// How long an engine may take to stop a run and copy it. One that is dead is found out
 /// sooner, since the question goes on a connection of its own.
-const STOP_WAIT: Duration = Duration::from_millis(1200);
+const STOP_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Answers to moves are a few dozen bytes.
-const MOST_ANSWER: usize = 1 << 16;
+const MAX_ANSWER_BYTES: usize = 1 << 16;
 
 /// Where a run can go on.
 #[derive(Clone, Debug)]
@@ -29,16 +29,16 @@
 
 /// What came of a move.
 #[derive(Clone, Debug)]
-pub enum Moved {
+pub enum MoveOutcome {
     /// The run goes on where it is; the move may be tried again.
-    NotYet(String),
+    Deferred(String),
     /// Its copy is complete; the run goes on where it is until it is taken over.
     Ready(Takeover),
 }
 
 /// What came of stopping a run that is silent.
 #[derive(Clone, Debug)]
-pub enum Stop {
+pub enum StopOutcome {
     /// A move of the run is under way.
     Busy,
     /// The engine does not have the run.
@@ -54,21 +54,21 @@
 /// The other engine can go on from the copy and reads the few tokens anew that were made
 /// meanwhile, so the run need not be stopped for a last copy. A last copy waits behind
 /// others on the link, and an engine that leaves is often gone before it is through.
-pub async fn relocate(shared: &Rc<Shared>, run: RunKey, id: &str) -> Moved {
+pub async fn move_run(shared: &Rc<Shared>, run: RunKey, id: &str) -> MoveOutcome {
     let mut tried = Vec::new();
     loop {
-        gossip::tell::refresh(shared).await;
-        let Some(ends) = ends(shared, run, &tried) else {
-            return Moved::NotYet("no engine with room".to_string());
+        gossip::report::refresh(shared).await;
+        let Some(ends) = pick_ends(shared, run, &tried) else {
+            return MoveOutcome::Deferred("no engine with room".to_string());
         };
         if let Some(run) = shared.state.borrow_mut().run_mut(run) {
             run.target = Some(ends.target_key);
         }
-        let began = clock::now();
-        let result = call(shared, &ends, id, false, MOVE_WAIT).await;
-        log::info!(id, ms = clock::now().since(began).as_millis(), result:?; "copied");
+        let started_at = clock::now();
+        let result = call(shared, &ends, id, false, MOVE_TIMEOUT).await;
+        log::info!(id, ms = clock::now().since(started_at).as_millis(), result:?; "copied");
         return match result {
-            Ok(Move::Copied { handle, .. }) => Moved::Ready(Takeover {
+            Ok(Move::Copied { handle, .. }) => MoveOutcome::Ready(Takeover {
                 address: ends.source,
                 handle,
                 key: ends.target_key,
@@ -77,28 +77,33 @@
                 tried.push(ends.target_key);
                 continue;
             }
-            Ok(Move::NoRun) => Moved::NotYet("engine does not have the run".to_string()),
-            Ok(Move::Busy) => Moved::NotYet("a move is under way".to_string()),
-            Err(why) => Moved::NotYet(why),
+            Ok(Move::NoRun) => MoveOutcome::Deferred("engine does not have the run".to_string()),
+            Ok(Move::Busy) => MoveOutcome::Deferred("a move is under way".to_string()),
+            Err(why) => MoveOutcome::Deferred(why),
         };
     }
 }
 
 /// Stops a run that is silent and moves it to another engine with room. If there is none and
-/// `beside` names an engine that may be at work on the run too, the run is stopped all the
+/// `duplicate` names an engine that may be at work on the run too, the run is stopped all the
 /// same, with that one for its target, and goes on at its own engine.
-pub async fn stop(shared: &Rc<Shared>, run: RunKey, id: &str, beside: Option<EndpointKey>) -> Stop {
-    gossip::tell::refresh(shared).await;
-    let moved = ends(shared, run, beside.as_slice());
+pub async fn stop(
+    shared: &Rc<Shared>,
+    run: RunKey,
+    id: &str,
+    duplicate: Option<EndpointKey>,
+) -> StopOutcome {
+    gossip::report::refresh(shared).await;
+    let moved = pick_ends(shared, run, duplicate.as_slice());
     let stays = moved.is_none();
-    let Some(ends) = moved.or_else(|| ends_at(shared, run, beside?)) else {
-        return Stop::Busy;
+    let Some(ends) = moved.or_else(|| ends_at(shared, run, duplicate?)) else {
+        return StopOutcome::Busy;
     };
-    let result = call(shared, &ends, id, true, STOP_WAIT).await;
+    let result = call(shared, &ends, id, true, STOP_TIMEOUT).await;
     log::info!(id, result:?; "asked a silent engine");
     match result {
-        Ok(Move::Busy) => Stop::Busy,
-        Ok(Move::Copied { handle, .. }) => Stop::Stopped(Takeover {
+        Ok(Move::Busy) => StopOutcome::Busy,
+        Ok(Move::Copied { handle, .. }) => StopOutcome::Stopped(Takeover {
             address: ends.source,
             handle,
             key: if stays {
@@ -107,18 +112,18 @@
                 ends.target_key
             },
         }),
-        Ok(Move::Refused(Some(handle))) => Stop::Stopped(Takeover {
+        Ok(Move::Refused(Some(handle))) => StopOutcome::Stopped(Takeover {
             address: ends.source,
             handle,
             key: ends.source_key,
         }),
-        Ok(Move::NoRun | Move::Refused(None)) => Stop::Gone,
-        Err(_) => Stop::Unreachable,
+        Ok(Move::NoRun | Move::Refused(None)) => StopOutcome::Gone,
+        Err(_) => StopOutcome::Unreachable,
     }
 }
 
 /// Both ends of a move.
-struct Ends {
+struct MoveEnds {
     source: SocketAddr,
     source_key: EndpointKey,
     target: SocketAddr,
@@ -126,7 +131,7 @@
 }
 
 /// The engine that has the run, and another one with room.
-fn ends(shared: &Shared, run: RunKey, tried: &[EndpointKey]) -> Option<Ends> {
+fn pick_ends(shared: &Shared, run: RunKey, tried: &[EndpointKey]) -> Option<MoveEnds> {
     let target = {
         let mut state = shared.state.borrow_mut();
         state.pick_target(clock::now(), run, tried)?
@@ -135,19 +140,19 @@
 }
 
 /// The engine that has the run, and another one.
-fn ends_at(shared: &Shared, run: RunKey, target_key: EndpointKey) -> Option<Ends> {
+fn ends_at(shared: &Shared, run: RunKey, target_key: EndpointKey) -> Option<MoveEnds> {
     let source_key = shared.state.borrow().run(run)?.endpoint;
-    Some(Ends {
-        source: shared.target(source_key)?.0,
+    Some(MoveEnds {
+        source: shared.endpoint_address(source_key)?.0,
         source_key,
-        target: shared.target(target_key)?.0,
+        target: shared.endpoint_address(target_key)?.0,
         target_key,
     })
 }
 
 async fn call(
     shared: &Shared,
-    ends: &Ends,
+    ends: &MoveEnds,
     id: &str,
     stop: bool,
     wait: Duration,
@@ -163,7 +168,7 @@
         };
         let answer = answer.map_err(|error| error.to_string())?;
         let status = answer.status();
-        let body = answer.whole(MOST_ANSWER).await;
+        let body = answer.whole(MAX_ANSWER_BYTES).await;
         let body = body.map_err(|error| error.to_string())?;
         engine::moved(status, &body).map_err(|error| error.to_string())
     };
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -2,10 +2,11 @@
 
 use {
     crate::{
-        clock, follow, gossip, inquire,
+        clock, follow, gossip,
         listen::{self, Role},
         logging,
         prelude::*,
+        probe,
         settings::Settings,
     },
     platform::store::Topic,
@@ -18,20 +19,20 @@
 
 /// Time from a request to stop until idle connections are closed. The balancer asks once
 /// a second and needs two refusals, so new callers have stopped coming by then.
-const CLOSE_IDLE: Duration = Duration::from_millis(2600);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2600);
 
 /// Time before the kill at which the process ends by itself.
-const BEFORE_KILL: Duration = Duration::from_millis(300);
+const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// How often the settings file is looked at, since it may change without a signal. It is
 /// some 500 bytes in memory.
-const LOOK_AT_SETTINGS: Duration = Duration::from_secs(3);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// How often it is looked whether everything has ended.
-const LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after closing idle connections in which their last requests come to an end.
-const SETTLE: Duration = Duration::from_millis(300);
+const LAST_REQUESTS_DELAY: Duration = Duration::from_millis(300);
 
 /// Runs an instance until it is told to stop.
 ///
@@ -67,7 +68,7 @@
     }
     spawn_local(gossip::run(Rc::clone(&shared)));
     spawn_local(follow::tick(Rc::clone(&shared)));
-    spawn_local(inquire::run(Rc::clone(&shared)));
+    spawn_local(probe::run(Rc::clone(&shared)));
     log::info!(
         listen:% = instance.listen, domain = instance.domain,
         version = env!("CARGO_PKG_VERSION"); "started"
@@ -78,7 +79,7 @@
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => {}
-            () = sleep(LOOK_AT_SETTINGS) => {}
+            () = sleep(SETTINGS_POLL_INTERVAL) => {}
         }
         settings = reload(&shared, file, settings);
     }
@@ -105,27 +106,27 @@
 
 /// Ends once nothing is in progress, or just before the kill.
 async fn drain(shared: &Shared) {
-    let began = clock::now();
+    let started_at = clock::now();
     let grace = Duration::from_secs_f64(shared.settings.instance.grace_s);
-    let end = began.after(grace.saturating_sub(BEFORE_KILL));
+    let end = started_at.after(grace.saturating_sub(KILL_MARGIN));
     shared.draining.set(true);
     shared.state.borrow_mut().stop(end);
     log::info!(in_progress = shared.in_progress.get(); "stopping");
-    sleep(CLOSE_IDLE).await;
+    sleep(IDLE_CLOSE_DELAY).await;
     shared.stop.notify_waiters();
-    sleep(SETTLE).await;
+    sleep(LAST_REQUESTS_DELAY).await;
     while shared.in_progress.get() > 0 && clock::now() < end {
         shared.stop.notify_waiters();
-        sleep(LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     // What comes from now on would be cut off with the process.
     shared.state.borrow_mut().stop(clock::now());
     log::info!(
         in_progress = shared.in_progress.get(), dropped_lines = logging::dropped(),
-        ms = clock::now().since(began).as_millis(); "stopped"
+        ms = clock::now().since(started_at).as_millis(); "stopped"
     );
     // The thread that writes the log takes a moment for the last line.
-    sleep(LOOK).await;
+    sleep(DRAIN_POLL_INTERVAL).await;
 }
 
 fn watch(kind: SignalKind) -> Result<Signal, Error> {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -4,12 +4,12 @@
     crate::{
         clock,
         exchange::Original,
-        fellows::Fellows,
         gossip::history::History,
-        meters::Meters,
+        metrics::Metrics,
+        peers::Peers,
         prelude::*,
         settings::Settings,
-        topic::{self, Progress},
+        topic::{self, TopicState},
     },
     endpoint::Client,
     forward::{
@@ -31,7 +31,7 @@
 
 /// How long a connection may take to open. The way to an endpoint takes milliseconds; one
 /// without power does not answer at all.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What all tasks of an instance share.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// Whether the instance was told to stop.
     pub draining: Cell<bool>,
     /// Other instances.
-    pub fellows: Fellows,
+    pub peers: Peers,
     /// Requests in progress.
     pub in_progress: Cell<usize>,
     /// Endpoints at which the load of the own failure domain has grown since the last sum,
@@ -50,11 +50,11 @@
     /// Records for members that lack some, for each topic.
     pub history: [RefCell<History>; TOPICS],
     /// Sets this life of the instance apart from earlier ones; never zero.
-    pub life: u64,
+    pub incarnation: u64,
     /// Signalled when the load of this instance has changed.
     pub load: Notify,
     /// Counters and histograms.
-    pub meters: Meters,
+    pub metrics: Metrics,
     /// What fellows say of their knowledge.
     pub readers: RefCell<Readers>,
     /// Signalled when this instance has to publish itself again.
@@ -75,9 +75,9 @@
     /// Client of the store.
     pub store: Store,
     /// Signalled when an aggregator has answered.
-    pub told: Notify,
+    pub rows_received: Notify,
     /// How far each topic of the store is known.
-    topics: [Progress; TOPICS],
+    topics: [TopicState; TOPICS],
 }
 
 impl Shared {
@@ -87,17 +87,17 @@
     ///
     /// The metrics cannot be set up.
     pub fn new(settings: Settings) -> Result<Rc<Self>, Error> {
-        let client = Client::new(CONNECT);
+        let client = Client::new(CONNECT_TIMEOUT);
         let random = SmallRng::from_rng(&mut rand::rng());
         Ok(Rc::new(Self {
             draining: Cell::new(false),
-            fellows: Fellows::default(),
+            peers: Peers::default(),
             grown: RefCell::default(),
             history: Default::default(),
             in_progress: Cell::new(0),
-            life: rand::rng().random_range(1..=u64::MAX),
+            incarnation: rand::rng().random_range(1..=u64::MAX),
             load: Notify::new(),
-            meters: Meters::new()?,
+            metrics: Metrics::new()?,
             readers: RefCell::default(),
             republish: Notify::new(),
             room: Notify::new(),
@@ -106,7 +106,7 @@
             state: RefCell::new(State::new(settings.decisions(), random)),
             stop: Notify::new(),
             store: Store::new(settings.store.address.to_string(), client.clone()),
-            told: Notify::new(),
+            rows_received: Notify::new(),
             topics: Default::default(),
             client,
             settings,
@@ -115,20 +115,20 @@
 
     /// How far a topic is known.
     #[must_use]
-    pub const fn topic(&self, topic: Topic) -> &Progress {
+    pub const fn topic(&self, topic: Topic) -> &TopicState {
         &self.topics[topic::index(topic)]
     }
 
     /// Address and id of an endpoint.
     #[must_use]
-    pub fn target(&self, key: EndpointKey) -> Option<(SocketAddr, String)> {
+    pub fn endpoint_address(&self, key: EndpointKey) -> Option<(SocketAddr, String)> {
         let state = self.state.borrow();
         let listing = &state.endpoint(key)?.listing;
         Some((listing.address, listing.id.clone()))
     }
 
     /// Notes that an endpoint could not be reached.
-    pub fn unreachable(&self, key: EndpointKey) {
+    pub fn mark_unreachable(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.unreachable(clock::now());
         }
@@ -137,32 +137,32 @@
 
 /// A place in the queue, left when it is dropped.
 #[derive(Debug)]
-pub struct Waiting {
-    place: Place,
+pub struct QueueSlot {
+    position: Place,
     shared: Rc<Shared>,
 }
 
-impl Waiting {
+impl QueueSlot {
     /// Takes a place.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, ticket: &forward::request::Ticket) -> Self {
-        let place = shared.state.borrow_mut().enqueue(ticket);
+        let position = shared.state.borrow_mut().enqueue(ticket);
         Self {
-            place,
+            position,
             shared: Rc::clone(shared),
         }
     }
 
     /// Whether another request comes first.
     #[must_use]
-    pub fn passed_over(&self) -> bool {
-        self.shared.state.borrow().passed_over(&self.place)
+    pub fn is_preceded(&self) -> bool {
+        self.shared.state.borrow().passed_over(&self.position)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueueSlot {
     fn drop(&mut self) {
-        self.shared.state.borrow_mut().dequeue(&self.place);
+        self.shared.state.borrow_mut().dequeue(&self.position);
         self.shared.room.notify_waiters();
     }
 }
@@ -199,13 +199,13 @@
 
 /// A generation in progress, forgotten when it is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunGuard {
     /// Key of the generation.
     pub key: RunKey,
     shared: Rc<Shared>,
 }
 
-impl Running {
+impl RunGuard {
     /// Notes a generation.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, run: forward::prelude::Run) -> Self {
@@ -219,7 +219,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.shared.state.borrow_mut().end(self.key);
         self.shared.load.notify_one();
@@ -229,19 +229,19 @@
 
 impl Shared {
     /// An endpoint answered, well or with a failure of its own.
-    pub fn answered(&self, key: EndpointKey, failed: bool) {
+    pub fn record_answer(&self, key: EndpointKey, failed: bool) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.answered(failed);
         }
     }
 
     /// Counts a send to a service, for the budget and the metrics.
-    pub fn count_send(&self, service: &str, again: bool) {
+    pub fn record_attempt(&self, service: &str, is_retry: bool) {
         let now = clock::now();
-        if again {
+        if is_retry {
             self.state.borrow_mut().budget.second(service, now);
         }
-        self.meters.sent(again);
+        self.metrics.record_send(is_retry);
     }
 
     /// Admits a request again right before its send, by what is known then. Returns whether
@@ -259,15 +259,15 @@
     }
 
     /// A send did not reach its endpoint after all.
-    pub fn take_back_send(&self, service: &str, again: bool) {
-        if again {
+    pub fn refund_send(&self, service: &str, is_retry: bool) {
+        if is_retry {
             let now = clock::now();
             self.state.borrow_mut().budget.take_back(service, now);
         }
     }
 
     /// An endpoint turned a request down unrun.
-    pub fn full(&self, key: EndpointKey, status: StatusCode) {
+    pub fn mark_rejected(&self, key: EndpointKey, status: StatusCode) {
         let now = clock::now();
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             if status == StatusCode::MISDIRECTED_REQUEST {
@@ -279,7 +279,7 @@
     }
 
     /// A request is on its way to an endpoint.
-    pub fn sent(&self, key: EndpointKey) {
+    pub fn record_send(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.pace.sent(clock::now());
         }
@@ -297,14 +297,14 @@
 
     /// Whether a fellow stands in the own failure domain.
     #[must_use]
-    pub fn is_near(&self, name: &str) -> bool {
+    pub fn in_own_domain(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let domain = state.members.domain(name);
         domain == Some(&self.settings.instance.domain)
     }
 
     /// A fellow is talked to and owes an answer.
-    pub fn asked(&self, datagrams: &DatagramSocket, key: MemberKey, address: SocketAddr) {
+    pub fn expect_answer(&self, datagrams: &DatagramSocket, key: MemberKey, address: SocketAddr) {
         let connected = datagrams.is_open(address);
         let mut state = self.state.borrow_mut();
         state.members.asked(key, clock::now(), connected);
@@ -313,7 +313,7 @@
     /// Life and version of an aggregator's sums that are held, if its rows are wanted: those
     /// of the aggregator that is preferred, or of all while none answers.
     #[must_use]
-    pub fn held(&self, aggregator: &str, now: Time) -> Option<(u64, u64)> {
+    pub fn held_version(&self, aggregator: &str, now: Time) -> Option<(u64, u64)> {
         let state = self.state.borrow();
         let views = &state.sums.views;
         let preferred = views.preferred(now);
@@ -323,7 +323,7 @@
 
     /// Instances that this one speaks for as an aggregator; none once it is to stop.
     #[must_use]
-    pub fn speaks_for(&self, now: Time) -> u32 {
+    pub fn reporting_instances(&self, now: Time) -> u32 {
         if self.draining.get() {
             return 0;
         }
@@ -333,8 +333,8 @@
 
     /// Load of the own failure domain, and the instances that it is made of.
     #[must_use]
-    pub fn domain_sum(&self, own: &Report, now: Time) -> (Report, u32) {
-        let members = self.speaks_for(now);
+    pub fn domain_load(&self, own: &Report, now: Time) -> (Report, u32) {
+        let members = self.reporting_instances(now);
         let state = self.state.borrow();
         let mut loads = state.fellows.sums().clone();
         add_rows(&mut loads, own);
@@ -343,7 +343,7 @@
 
     /// Takes the report of a member in. Where work has begun the other failure domains are
     /// to hear of it before their next choice.
-    pub fn take_report(&self, now: Time, member: &str, number: u64, loads: Report) {
+    pub fn apply_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
         let State { fellows, sums, .. } = &mut *state;
         let before = fellows.report(member);
@@ -369,7 +369,7 @@
     }
 
     /// Settles where the load of other instances is taken from.
-    pub fn settle(&self, role: Role) {
+    pub fn select_load_source(&self, role: Role) {
         let now = clock::now();
         let before = self.role.replace(role);
         if before != role {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -2,15 +2,15 @@
 
 use {
     crate::{
+        buffered::acquire_endpoint,
         clock,
-        exchange::{self, Destination, Original, Sent},
-        plain::place,
+        exchange::{self, Destination, Original, SendOutcome},
         prelude::*,
         progress::Progress,
-        relay::{Relay, Start},
+        relay::{Relay, RelayStart},
         reply,
-        shared::Running,
-        transfer,
+        shared::RunGuard,
+        takeover,
     },
     endpoint::sse::Cutter,
     forward::{choice::Need, prelude::Run, request::Ticket},
@@ -20,13 +20,13 @@
 
 /// Share of the target for the first event in which a place is waited for; what is left
 /// is needed for reading the prompt.
-const WAIT_SHARE: f64 = 0.7;
+const QUEUE_TIMEOUT_SHARE: f64 = 0.7;
 
 /// Parts that wait for a caller who reads slowly.
-const MOST_BUFFERED: usize = 256;
+const MAX_BUFFERED_PARTS: usize = 256;
 
 /// Output tokens expected where the caller gives no bound: a few hundred are typical.
-const TYPICAL_OUTPUT: u32 = 256;
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
 /// Serves a request for a stream: its answer begins with the first event, so that a
 /// failure before it has a status.
@@ -38,25 +38,25 @@
     shared: &Rc<Shared>,
     original: &Rc<Original>,
     ticket: Ticket,
-    busy: crate::listen::Busy,
+    guard: crate::listen::RequestGuard,
 ) -> Result<Reply, Refusal> {
     let mut ticket = ticket;
     let mut progress = Progress::default();
-    let mut busy = Some(busy);
+    let mut guard = Some(guard);
     let id = &original.inbound.id;
     loop {
-        let until = original
+        let deadline = original
             .inbound
             .arrived
-            .after(ticket.route.target.mul_f64(WAIT_SHARE))
+            .after(ticket.route.target.mul_f64(QUEUE_TIMEOUT_SHARE))
             .min(ticket.expires);
-        let expected = expected(&original.inbound);
+        let expected = expected_output_tokens(&original.inbound);
         let need = Need {
             output: expected,
             prompt: original.inbound.prompt,
         };
-        let placed = place(shared, &ticket, need, &progress.tried, until).await;
-        let Some((key, backup)) = placed else {
+        let acquired = acquire_endpoint(shared, &ticket, need, &progress.tried, deadline).await;
+        let Some((key, backup)) = acquired else {
             progress.why = "no engine with room".to_string();
             return Err(progress.give_up(id, Refusal::Full));
         };
@@ -66,27 +66,27 @@
             Ok(false) => continue,
             Err(refusal) => return Err(progress.give_up(id, refusal)),
         }
-        shared.count_send(&ticket.service, progress.sends > 0);
+        shared.record_attempt(&ticket.service, progress.sends > 0);
         progress.sends += 1;
         let running = begin(shared, original, &ticket, key, backup, expected);
         let opened = open(shared, original, &ticket, &progress, key, backup).await;
         match opened {
-            Opened::Answer(reply) => return Ok(reply),
-            Opened::Unknown(refusal, why) => {
-                progress.ran(key, why);
+            OpenOutcome::Answer(reply) => return Ok(reply),
+            OpenOutcome::Unknown(refusal, why) => {
+                progress.note_run(key, why);
                 if clock::now() >= ticket.expires || !progress.may_send(shared, &ticket) {
                     return Err(progress.give_up(id, refusal));
                 }
             }
-            Opened::Stream(opening) => {
-                let (out, parts) = mpsc::channel(MOST_BUFFERED);
+            OpenOutcome::Stream(opening) => {
+                let (out, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
                 let mut reply = Response::new(Body::Parts(parts));
                 *reply.headers_mut() = opening.headers;
                 shared
-                    .meters
-                    .first_event(clock::now().since(original.inbound.arrived));
-                let start = Start {
-                    busy: busy.take(),
+                    .metrics
+                    .record_first_event(clock::now().since(original.inbound.arrived));
+                let start = RelayStart {
+                    guard: guard.take(),
                     original: Rc::clone(original),
                     out,
                     progress,
@@ -98,13 +98,13 @@
                 tokio::task::spawn_local(relay.run(opening.blocks, opening.ended));
                 return Ok(reply);
             }
-            Opened::NotReached => {
+            OpenOutcome::NotReached => {
                 // It never arrived, so it counts neither as a try nor for the budget.
                 progress.sends -= 1;
-                shared.take_back_send(&ticket.service, progress.sends > 0);
+                shared.refund_send(&ticket.service, progress.sends > 0);
             }
-            Opened::NotRun(why) => {
-                progress.turned_down(key, why);
+            OpenOutcome::NotRun(why) => {
+                progress.note_rejected(key, why);
                 if !progress.may_send(shared, &ticket) {
                     return Err(progress.give_up(id, Refusal::Full));
                 }
@@ -114,9 +114,9 @@
 }
 
 /// Output tokens to expect: the caller's own estimate, right at the median.
-fn expected(inbound: &Inbound) -> u32 {
+fn expected_output_tokens(inbound: &Inbound) -> u32 {
     let most = if inbound.most_output == 0 {
-        TYPICAL_OUTPUT
+        DEFAULT_OUTPUT_TOKENS
     } else {
         inbound.most_output
     };
@@ -130,7 +130,7 @@
     key: EndpointKey,
     backup: Option<EndpointKey>,
     expected: u32,
-) -> Running {
+) -> RunGuard {
     let tokens_per_event = shared
         .state
         .borrow()
@@ -148,22 +148,22 @@
         target: None,
         tokens_per_event,
     };
-    Running::new(shared, run)
+    RunGuard::new(shared, run)
 }
 
 /// A stream whose first events are there.
-struct Opening {
+struct OpenedStream {
     blocks: Vec<Bytes>,
     ended: bool,
     headers: http::HeaderMap,
-    source: transfer::Source,
+    source: takeover::EventSource,
 }
 
-enum Opened {
+enum OpenOutcome {
     Answer(Reply),
     NotReached,
     NotRun(String),
-    Stream(Box<Opening>),
+    Stream(Box<OpenedStream>),
     /// It may have run: what to tell the caller, and why.
     Unknown(Refusal, String),
 }
@@ -176,7 +176,7 @@
     progress: &Progress,
     key: EndpointKey,
     backup: Option<EndpointKey>,
-) -> Opened {
+) -> OpenOutcome {
     let limit = ticket.try_limit(clock::now(), progress.runs);
     let destination = Destination {
         backup,
@@ -188,62 +188,66 @@
     };
     let opened = async {
         match exchange::send(shared, original, &destination, limit).await {
-            Sent::NotWritten(why) => {
-                shared.unreachable(key);
+            SendOutcome::NotWritten(why) => {
+                shared.mark_unreachable(key);
                 log::info!(id = original.inbound.id, why; "engine not reached");
-                Opened::NotReached
+                OpenOutcome::NotReached
             }
-            Sent::Unknown(why) => fail(shared, key, why),
-            Sent::Answer(answer, verdict) if verdict.not_run => {
-                shared.full(key, answer.status());
-                Opened::NotRun(format!("turned down with {}", answer.status()))
+            SendOutcome::Unknown(why) => fail(shared, key, why),
+            SendOutcome::Answer(answer, flags) if flags.not_run => {
+                shared.mark_rejected(key, answer.status());
+                OpenOutcome::NotRun(format!("turned down with {}", answer.status()))
             }
-            Sent::Answer(answer, verdict) if answer.status() == StatusCode::OK => {
-                if !verdict.sealed || verdict.encoded {
+            SendOutcome::Answer(answer, flags) if answer.status() == StatusCode::OK => {
+                if !flags.sealed || flags.encoded {
                     return fail(shared, key, "improper answer".to_string());
                 }
                 first_event(shared, key, answer).await
             }
-            Sent::Answer(answer, _) => other_answer(shared, key, answer).await,
+            SendOutcome::Answer(answer, _) => non_stream_answer(shared, key, answer).await,
         }
     };
     timeout(limit, opened).await.unwrap_or_else(|_| {
-        shared.unreachable(key);
-        Opened::Unknown(Refusal::TimedOut, "no first event in time".to_string())
+        shared.mark_unreachable(key);
+        OpenOutcome::Unknown(Refusal::TimedOut, "no first event in time".to_string())
     })
 }
 
-fn fail(shared: &Shared, key: EndpointKey, why: String) -> Opened {
-    shared.unreachable(key);
-    Opened::Unknown(Refusal::Broken, why)
+fn fail(shared: &Shared, key: EndpointKey, why: String) -> OpenOutcome {
+    shared.mark_unreachable(key);
+    OpenOutcome::Unknown(Refusal::Broken, why)
 }
 
 /// Reads until an event is whole.
-async fn first_event(shared: &Shared, key: EndpointKey, answer: endpoint::client::Reply) -> Opened {
+async fn first_event(
+    shared: &Shared,
+    key: EndpointKey,
+    answer: endpoint::client::Reply,
+) -> OpenOutcome {
     let headers = head::answer(answer.headers());
     let mut answer = answer;
-    let mut cutter = Cutter::default();
+    let mut splitter = Cutter::default();
     loop {
         let part = match answer.part().await {
             Ok(part) => part,
             Err(error) => return fail(shared, key, error.to_string()),
         };
         let ended = part.is_none();
-        let blocks = match cutter.feed(part.unwrap_or_default()) {
+        let blocks = match splitter.feed(part.unwrap_or_default()) {
             Ok(blocks) => blocks,
             Err(error) => return fail(shared, key, error.to_string()),
         };
         if blocks.is_empty() && !ended {
             continue;
         }
-        shared.answered(key, false);
-        return Opened::Stream(Box::new(Opening {
+        shared.record_answer(key, false);
+        return OpenOutcome::Stream(Box::new(OpenedStream {
             blocks,
             ended,
             headers,
-            source: transfer::Source {
+            source: takeover::EventSource {
                 answer,
-                cutter,
+                splitter,
                 key,
             },
         }));
@@ -251,19 +255,19 @@
 }
 
 /// Passes on an answer that is no stream.
-async fn other_answer(
+async fn non_stream_answer(
     shared: &Shared,
     key: EndpointKey,
     answer: endpoint::client::Reply,
-) -> Opened {
+) -> OpenOutcome {
     let status = answer.status();
-    shared.answered(key, status.is_server_error());
+    shared.record_answer(key, status.is_server_error());
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
         return fail(shared, key, format!("improper answer with {status}"));
     }
     let headers = head::answer(answer.headers());
     match answer.whole(endpoint::sse::MOST).await {
-        Ok(body) => Opened::Answer(reply::whole(status, headers, body)),
+        Ok(body) => OpenOutcome::Answer(reply::whole(status, headers, body)),
         Err(error) => fail(shared, key, error.to_string()),
     }
 }
--- a/crates/proxy/src/topic.rs
+++ b/crates/proxy/src/topic.rs
@@ -25,23 +25,23 @@
 
 /// How far one topic is known.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct TopicState {
     /// Age of what is known.
     pub freshness: Cell<Freshness>,
     /// Offset after the last record taken in; `None` before the first read.
     pub position: Cell<Option<u64>>,
     /// Whether the last call to the store was answered.
-    pub reached: Cell<bool>,
+    pub reachable: Cell<bool>,
     /// Signalled when a read is wanted at once.
-    pub wanted: Notify,
+    pub read_wanted: Notify,
     /// Signalled after each read, whether it failed or not.
-    pub read: Notify,
+    pub read_done: Notify,
 }
 
-impl Progress {
+impl TopicState {
     /// What this instance says of its knowledge.
     #[must_use]
-    pub fn word(&self) -> Word {
+    pub fn watermark(&self) -> Word {
         let position = self.position.get();
         Word {
             age: position.and(self.freshness.get().age(clock::now())),
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -4,7 +4,7 @@
     bytes::Bytes,
     decision::time::Time,
     platform::store::Keyed,
-    proxy::gossip::history::{History, MOST_KEPT},
+    proxy::gossip::history::{History, MAX_HISTORY_BYTES},
     std::time::Duration,
 };
 
@@ -63,7 +63,7 @@
 fn what_is_kept_is_bounded() {
     let mut history = History::default();
     for offset in 0..100 {
-        history.add(offset, &[record(offset, MOST_KEPT / 10)]);
+        history.add(offset, &[record(offset, MAX_HISTORY_BYTES / 10)]);
     }
     assert!(history.since(50).is_none());
     let kept = history.since(95).expect("the last records");
