--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -56,7 +56,7 @@
     let Some((address, endpoint)) = shared.endpoint_address(destination.key) else {
         return SendOutcome::NotWritten("endpoint is gone".to_string());
     };
-    let remaining = destination.expires.since(clock::now());
+    let left = destination.expires.since(clock::now());
     let backup = destination
         .backup
         .and_then(|key| shared.endpoint_address(key));
@@ -65,7 +65,7 @@
         customer: destination.customer,
         endpoint: &endpoint,
         last_event: destination.last_event,
-        left: remaining,
+        left,
         source: destination.source,
     };
     let request = head::outbound(&original.parts, original.body.clone(), &directions);
@@ -80,7 +80,7 @@
         address,
         request,
         &original.inbound.id,
-        limit.min(remaining),
+        limit.min(left),
     )
     .await
 }
--- a/crates/proxy/src/gossip/receive.rs
+++ b/crates/proxy/src/gossip/receive.rs
@@ -136,10 +136,10 @@
         .readers
         .borrow_mut()
         .hear(name, now, aggregates, watermarks);
-    let (incarnation, micros) = echo;
+    let (life, micros) = echo;
     let echo = Mark {
         at: Time::from_micros(micros),
-        life: incarnation,
+        life,
     };
     for (topic, watermark) in topic::ALL.into_iter().zip(watermarks) {
         let known = shared.topic(topic).position.get();
--- a/crates/proxy/src/gossip/report.rs
+++ b/crates/proxy/src/gossip/report.rs
@@ -18,14 +18,14 @@
 
 /// Shortest pause between two reports. A request is placed on what the others reported
 /// last, so it is a few times shorter than the time between two arrivals at a quiet hour.
-const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(25);
+const MIN_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The same for a member, which has a fraction of the load.
-const MEMBER_MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+const MEMBER_MIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest pause between two reports. What a report says of knowledge is proved by the
 /// number that it echoes, so two pauses add to the age of knowledge.
-const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+const MAX_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause between two whole sums of an aggregator.
 const SUM_INTERVAL: Duration = Duration::from_millis(120);
@@ -55,13 +55,7 @@
         let role = role(shared);
         match role {
             Role::Aggregator => sum_due(shared, whole_at).await,
-            Role::Equal => {
-                load_changed(
-                    shared,
-                    MAX_REPORT_INTERVAL.saturating_sub(MIN_REPORT_INTERVAL),
-                )
-                .await
-            }
+            Role::Equal => load_changed(shared, MAX_INTERVAL.saturating_sub(MIN_INTERVAL)).await,
             Role::Member => report_due(shared).await,
         }
         connections::skip_unresponsive(shared, datagrams);
@@ -81,7 +75,7 @@
             }
             Role::Equal => {
                 report(shared, datagrams, &links, &loads);
-                sleep(MIN_REPORT_INTERVAL).await;
+                sleep(MIN_INTERVAL).await;
             }
             Role::Member => report(shared, datagrams, &links, &loads),
         }
@@ -122,12 +116,12 @@
 /// Waits until a member's next report is due: at once if it cannot wait, else when the load
 /// has changed and some time has passed since the last one.
 async fn report_due(shared: &Shared) {
-    let now = timeout(MEMBER_MIN_REPORT_INTERVAL, shared.report_now.notified());
+    let now = timeout(MEMBER_MIN_INTERVAL, shared.report_now.notified());
     if now.await.is_ok() {
         return;
     }
     tokio::select! {
-        () = load_changed(shared, MAX_REPORT_INTERVAL.saturating_sub(MEMBER_MIN_REPORT_INTERVAL)) => {}
+        () = load_changed(shared, MAX_INTERVAL.saturating_sub(MEMBER_MIN_INTERVAL)) => {}
         () = shared.report_now.notified() => {}
     }
 }
