--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -1,4 +1,4 @@
-//! Taking records of the store in.
+//! Applies records of the store to the state of this instance.
 
 use {
     crate::{clock, prelude::*},
@@ -11,7 +11,7 @@
     },
 };
 
-/// Takes the newest record of each key in; keys that are not among them are gone.
+/// Applies the newest record of each key; keys that are not among them are removed.
 pub fn snapshot(shared: &Shared, topic: Topic, records: &[Keyed]) {
     match topic {
         Topic::Endpoints => remove_unlisted_endpoints(shared, records),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Takes one record in.
+/// Applies one record.
 pub fn update(shared: &Shared, topic: Topic, record: &Keyed) {
     match topic {
         Topic::Endpoints => apply_endpoint(shared, record),
@@ -37,14 +37,14 @@
     let mut state = shared.state.borrow_mut();
     for id in state.listed() {
         if !records.iter().any(|record| record.key == id) {
-            log::info!(endpoint = id; "endpoint not among the newest records");
+            log::info!(endpoint = id; "endpoint removed: not among the newest records");
             state.change(now, Change::Gone(id));
         }
     }
 }
 
-/// Instances whose entry is gone are forgotten. If it is the own one, it is written again:
-/// fellows that have not heard of an instance do not let it in.
+/// Removes instances that have no entry. If this instance's own entry is missing, it is
+/// published again: peers reject connections from instances that are not listed.
 fn remove_unlisted_instances(shared: &Shared, records: &[Keyed]) {
     let listed = |name: &str| records.iter().any(|record| record.key == name);
     let own = &shared.settings.instance.name;
@@ -53,13 +53,13 @@
     }
     for name in shared.peers.names() {
         if name != *own && !listed(&name) {
-            log::info!(fellow = name; "instance not among the newest records");
+            log::info!(fellow = name; "instance removed: not among the newest records");
             set_instance(shared, &name, None);
         }
     }
 }
 
-/// Failure domains whose record is gone are in again.
+/// Enables failure domains that no record disables any more.
 fn reinstate_unlisted_domains(shared: &Shared, records: &[Keyed]) {
     let out = records
         .iter()
@@ -71,7 +71,7 @@
     let mut state = shared.state.borrow_mut();
     for domain in state.domains_out().to_vec() {
         if !out.contains(&domain) {
-            log::info!(domain; "failure domain in again by the newest records");
+            log::info!(domain; "failure domain enabled: not among the newest records");
             state.set_domain(&domain, false);
         }
     }
@@ -81,10 +81,10 @@
     let (change, error) = list::change(record);
     match (&change, error) {
         (_, Some(error)) => {
-            log::warn!(endpoint = record.key, offset = record.offset, error:%; "entry of no use");
+            log::warn!(endpoint = record.key, offset = record.offset, error:%; "invalid endpoint record");
         }
         (Change::Gone(id), None) => {
-            log::info!(endpoint = id, offset = record.offset; "endpoint gone from the list");
+            log::info!(endpoint = id, offset = record.offset; "endpoint removed from the list");
         }
         (Change::Set(listing), None) => log::info!(
             endpoint = listing.id, offset = record.offset, leaving = listing.leaving,
@@ -107,12 +107,12 @@
             set_instance(shared, &record.key, entry);
         }
         Err(error) => {
-            log::warn!(fellow = record.key, offset = record.offset, error:%; "record of no use");
+            log::warn!(fellow = record.key, offset = record.offset, error:%; "invalid instance record");
         }
     }
 }
 
-/// Takes the entry of an instance in, or forgets the instance.
+/// Adds or updates an instance, or removes it if there is no entry.
 fn set_instance(shared: &Shared, name: &str, entry: Option<Entry>) {
     {
         let mut state = shared.state.borrow_mut();
@@ -137,10 +137,10 @@
 fn apply_operator_record(shared: &Shared, record: &Keyed) {
     match records::order(record) {
         Err(error) => {
-            log::error!(key = record.key, offset = record.offset, error:%; "record of no use");
+            log::error!(key = record.key, offset = record.offset, error:%; "invalid operator record");
         }
         Ok(Order::Unknown(key)) => {
-            log::info!(key, offset = record.offset; "record of an unknown kind");
+            log::info!(key, offset = record.offset; "unknown kind of operator record");
         }
         Ok(Order::Domain(domain, out)) => {
             let changed = shared.state.borrow_mut().set_domain(&domain, out);
--- a/crates/proxy/src/buffered.rs
+++ b/crates/proxy/src/buffered.rs
@@ -1,4 +1,4 @@
-//! Requests whose answers are taken in whole before they are passed on.
+//! Requests whose responses are buffered in full before they are sent to the caller.
 
 use {
     crate::{
@@ -17,23 +17,23 @@
     platform::head::{self, Verdict},
 };
 
-/// Largest answer that is taken in whole, in bytes.
+/// Size limit of a buffered response.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Share of a route's timeout that a request waits for an endpoint with room.
+/// Fraction of a route's timeout for which a request may queue for an endpoint with room.
 const QUEUE_TIMEOUT_SHARE: f64 = 0.5;
 
-/// How an attempt ended.
+/// Result of an attempt.
 enum Attempt {
-    /// With an answer for the caller.
+    /// There is a response for the caller.
     Answered(Reply),
     /// Another endpoint may be tried.
     Retry,
-    /// No more tries.
+    /// No further attempt is allowed.
     Failed(Refusal),
 }
 
-/// An answer, taken in whole.
+/// A response that has been read in full.
 struct BufferedAnswer {
     body: Bytes,
     headers: http::HeaderMap,
@@ -41,7 +41,7 @@
     flags: Verdict,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 struct SendFailure {
     why: String,
     /// Whether anything was written to the endpoint.
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// The truthful refusal or failure.
+/// Why the request got no response; see [`Progress::give_up`].
 pub async fn serve(
     shared: &Rc<Shared>,
     original: &Original,
@@ -107,8 +107,9 @@
                 progress.note_run(key, failure.why);
             } else {
                 progress.why = failure.why;
-                // It never arrived, so it counts neither as a try nor for the budget; the
-                // endpoint is avoided for a while, so the next one is asked.
+                // The request never arrived, so it counts neither as an attempt nor against
+                // the retry budget. The endpoint is marked unreachable, so that the next
+                // attempt picks another one.
                 progress.sends -= 1;
                 shared.refund_send(&ticket.service, progress.sends > 0);
             }
@@ -117,7 +118,7 @@
     }
 }
 
-/// Sends the request and takes the answer in whole.
+/// Sends the request and reads the whole response.
 async fn send(
     shared: &Shared,
     original: &Original,
@@ -156,10 +157,10 @@
         }
     };
     let whole = timeout(limit, read).await;
-    whole.unwrap_or_else(|_| Err(unknown("answer not whole in time".to_string())))
+    whole.unwrap_or_else(|_| Err(unknown("response incomplete at the time limit".to_string())))
 }
 
-/// Whether an answer goes to the caller.
+/// Decides whether a response goes to the caller, is retried or fails the request.
 fn classify(
     shared: &Shared,
     ticket: &Ticket,
@@ -170,14 +171,14 @@
     let status = answer.status;
     if answer.flags.not_run {
         shared.mark_rejected(key, status);
-        progress.note_rejected(key, format!("turned down with {status}"));
+        progress.note_rejected(key, format!("rejected with {status}"));
         return Attempt::Retry;
     }
     shared.record_answer(key, status.is_server_error());
     let is_valid = answer.flags.sealed && !answer.flags.encoded;
     let claims_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
     if (status.is_success() && !is_valid) || claims_not_run {
-        progress.note_run(key, format!("improper answer with {status}"));
+        progress.note_run(key, format!("invalid response with {status}"));
         return after_failure(ticket, progress, true);
     }
     let retry = status.is_server_error()
@@ -191,7 +192,7 @@
     Attempt::Answered(reply::whole(status, answer.headers, answer.body))
 }
 
-/// Whether a send that failed leaves room for another one.
+/// Decides whether a failed send may be retried.
 fn after_failure(ticket: &Ticket, progress: &Progress, written: bool) -> Attempt {
     let is_expired = clock::now() >= ticket.expires;
     match (written, is_expired) {
@@ -202,7 +203,8 @@
     }
 }
 
-/// Waits for an endpoint with room; `None` if there was none until `deadline`.
+/// Waits for an endpoint with room and returns it with the endpoint for its backup copy;
+/// `None` if there was none by `deadline`.
 pub async fn acquire_endpoint(
     shared: &Rc<Shared>,
     ticket: &Ticket,
@@ -231,11 +233,11 @@
             return None;
         }
         waiting.get_or_insert_with(|| QueueSlot::new(shared, ticket));
-        // Room also comes about by time alone, when a pause after a failure ends.
+        // Room can also appear without a notification, when the backoff after a failure ends.
         let pause = deadline.since(now).min(ROOM_POLL_INTERVAL);
         let _announced = timeout(pause, room).await;
     }
 }
 
-/// How often a waiting request looks for room that nobody announced.
+/// How often a queued request checks for room without a notification.
 const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One send to one endpoint.
+//! Sends one request to one endpoint and waits for the head of its response.
 
 use {
     crate::{clock, prelude::*},
@@ -6,47 +6,47 @@
     platform::head::{self, Directions, Source, Verdict},
 };
 
-/// What came of a send.
+/// Result of a send.
 #[derive(Debug)]
 pub enum SendOutcome {
     /// The endpoint answered; the body has not been read.
     Answer(endpoint::client::Reply, Verdict),
-    /// Nothing was written.
+    /// Nothing was written to the connection, for this reason.
     NotWritten(String),
-    /// It may have been run: why nobody knows.
+    /// The endpoint may have run the request; why the result is unknown.
     Unknown(String),
 }
 
-/// A caller's request, kept whole so that it can be sent again.
+/// A caller's buffered request, so that it can be retried.
 #[derive(Clone, Debug)]
 pub struct Original {
     /// Body.
     pub body: Bytes,
-    /// What decisions need to know.
+    /// Fields of the request that routing and admission use.
     pub inbound: Inbound,
     /// Head.
     pub parts: Parts,
 }
 
-/// Where a request goes, and with what.
+/// Target endpoint of a send and the headers that go with it.
 #[derive(Clone, Debug)]
 pub struct Destination<'a> {
-    /// Engine for the copy of the KV memory.
+    /// Engine that receives the backup copy of the KV cache.
     pub backup: Option<EndpointKey>,
     /// Name of the customer.
     pub customer: Option<&'a str>,
-    /// When the caller gives up.
+    /// Deadline of the caller.
     pub expires: Time,
     /// The endpoint.
     pub key: EndpointKey,
-    /// Id of the last event that the caller has, if the stream goes on behind it.
+    /// Id of the last event that the caller has received, if the stream resumes after it.
     pub last_event: Option<&'a str>,
-    /// Where a run that goes on comes from.
+    /// Copy from which the engine continues a run.
     pub source: Option<&'a Source>,
 }
 
-/// Sends a request and waits for the head of the answer, until the caller gives up or
-/// `limit` has passed.
+/// Sends a request and waits for the head of the response, until the caller's deadline or
+/// until `limit` has passed.
 pub async fn send(
     shared: &Shared,
     original: &Original,
@@ -54,7 +54,7 @@
     limit: Duration,
 ) -> SendOutcome {
     let Some((address, endpoint)) = shared.endpoint_address(destination.key) else {
-        return SendOutcome::NotWritten("endpoint is gone".to_string());
+        return SendOutcome::NotWritten("endpoint is no longer listed".to_string());
     };
     let left = destination.expires.since(clock::now());
     let backup = destination
@@ -85,7 +85,7 @@
     .await
 }
 
-/// One line for the choice of an endpoint, with what decided it.
+/// Logs the choice of an endpoint with the data that it was based on.
 fn log_send(shared: &Shared, id: &str, destination: &Destination, endpoint: &str) {
     let now = clock::now();
     let state = shared.state.borrow();
@@ -118,9 +118,9 @@
         Ok(Ok(reply)) => {
             let flags = head::verdict(reply.status(), reply.headers(), id);
             if !flags.matches {
-                // A late second answer to an earlier request. The one that belongs here
-                // may follow it, but this connection cannot be trusted any more.
-                return SendOutcome::Unknown("answer to another request".to_string());
+                // A late response to an earlier request. The right one may follow, but the
+                // connection is out of step.
+                return SendOutcome::Unknown("response belongs to another request".to_string());
             }
             SendOutcome::Answer(reply, flags)
         }
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow the store's topics, by reading it or by what a fellow reads.
+//! Tasks that follow the store's topics, by reading the store or through peers that read it.
 
 use {
     crate::{
@@ -15,62 +15,59 @@
     rand::RngExt as _,
 };
 
-/// Time that the store holds a read open when nothing is new. Knowledge is as old as the
-/// sending of the last read that returned, so on a quiet day its age swings between one
-/// and two of these.
+/// Long poll timeout of a read. Data is as old as the sending of the last completed read, so
+/// without changes its age varies between one and two timeouts.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// The same for the list of instances, whose age bounds nothing.
+/// Long poll timeout for the list of instances, whose age does not matter for requests.
 const INSTANCES_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Pause between two reads. Changes come a few a second, and each read is a call that
-/// counts; a pause takes several changes into one.
+/// Delay between two reads, so that one read returns several changes.
 const READ_DELAY: Duration = Duration::from_millis(60);
 
-/// The same for the list of instances, where there are many.
+/// Delay between two reads of the list of instances where there are many of them.
 const INSTANCES_READ_DELAY: Duration = Duration::from_millis(800);
 
-/// Pause between two reads of one of many instances that hears no other: until they have
-/// found each other, all of them read.
+/// Delay between two reads of an instance among many that receives nothing from peers. All
+/// of them read until they have found each other.
 const ISOLATED_READ_DELAY: Duration = Duration::from_millis(400);
 
-/// Shortest and longest pause after a failed call, drawn anew each time so that instances
-/// do not call in step.
+/// Range of the random delay after a failed call; random, so that instances do not retry in
+/// step.
 const RETRY_DELAY_RANGE_MS: (u64, u64) = (40, 240);
 
-/// Failures after each of which the pause doubles, for all but the reader of a topic: it
-/// tells the others as soon as the store is back, so that they need not ask as often.
+/// Limit of doublings of the retry delay. The reader of a topic does not back off: it notifies
+/// the others as soon as the store is back.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// The same for a member that hears an aggregator.
+/// Limit of doublings for a member that is connected to an aggregator.
 const MEMBER_MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Age of the list of instances up to which a member that hears no aggregator is content; the
-/// entries that it knows may be those of processes that are gone.
+/// Age from which a member without an aggregator reads the list of instances itself; the
+/// entries that it knows may belong to processes that have ended.
 const UNLINKED_MAX_INSTANCE_LIST_AGE: Duration = Duration::from_secs(2);
 
-/// Time that the first read of the list of instances waits, so that instances which start
-/// together find each other by one read.
+/// Range of the delay before the first read of the list of instances, so that instances that
+/// start together find each other with one read.
 const FIRST_READ_DELAY_RANGE_MS: (u64, u64) = (400, 600);
 
-/// Most that members wait longer than others before they read for themselves, each another
-/// time: where the store turns everybody away hundreds of them would ask it at once.
+/// Limit of the extra age that members accept before they read the store themselves. It
+/// differs between them, so that they do not all call a failing store at once.
 const MEMBER_JITTER_MS: u64 = 1000;
 
-/// How often an instance that does not read looks whether it has to.
+/// How often an instance that does not read a topic checks whether it has to.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time that a request waits for a read that was wanted on its behalf.
+/// Limit for which a request waits for a read on its behalf.
 const VERIFY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often doubts of the endpoint list are looked at.
+/// Interval of the timer that drives time-dependent state.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Lateness of the loop from which on it is logged; half of the time after which an event
-/// that is passed on counts as late.
+/// Lateness of the event loop above which it is logged.
 const STALL_THRESHOLD: Duration = Duration::from_millis(60);
 
-/// Follows a topic for ever.
+/// Follows a topic; never returns.
 pub async fn follow(shared: Rc<Shared>, topic: Topic) {
     let topic_state = shared.topic(topic);
     topic_state.reachable.set(true);
@@ -95,13 +92,13 @@
             log::info!(
                 topic:?, cause = cause.label(), position:? = topic_state.position.get(),
                 age_ms:? = topic_state.freshness.get().age(clock::now()).map(|age| age.as_millis());
-                "reads the store itself"
+                "reading the store directly"
             );
         }
         let result = match topic_state.position.get() {
             None => read_newest(&shared, topic, None).await,
             Some(from) => {
-                // The store answers at once where the answer is waited for.
+                // No long poll where something waits for the result.
                 let member = gossip::role(&shared) == Role::Member;
                 let long_poll_timeout =
                     if confirmation_wanted || (member && topic != Topic::Instances) {
@@ -116,7 +113,7 @@
             Ok(next) => {
                 failures = 0;
                 if !topic_state.reachable.replace(true) {
-                    log::info!(topic:?; "store regained");
+                    log::info!(topic:?; "store reachable again");
                 }
                 confirmation_wanted = topic_state.position.get().is_none();
                 topic_state.position.set(Some(next));
@@ -128,9 +125,9 @@
             Err(error) => {
                 shared.metrics.record_store_call("failed");
                 if topic_state.reachable.replace(false) {
-                    log::warn!(topic:?, error:%; "store lost");
+                    log::warn!(topic:?, error:%; "store unreachable");
                 }
-                // Words of a fellow may do until the next try; if not, there is a cause.
+                // Data from peers may suffice until the next attempt; if not, `cause` says so.
                 confirmation_wanted = false;
                 topic_state.read_done.notify_waiters();
                 let read_delay =
@@ -151,7 +148,7 @@
     MAX_BACKOFF_DOUBLINGS
 }
 
-/// Why this instance has to read a topic itself, if it has to.
+/// Why this instance has to read a topic from the store, if it has to.
 fn cause(shared: &Shared, topic: Topic) -> Option<Cause> {
     if shared.topic(topic).position.get().is_none() {
         return Some(Cause::Start);
@@ -160,7 +157,7 @@
     shared.readers.borrow_mut().must_read(own, clock::now())
 }
 
-/// What this instance knows of a topic itself.
+/// This instance's own state of a topic.
 pub fn own(shared: &Shared, topic: Topic) -> Own<'_> {
     let topic_state = shared.topic(topic);
     let role = gossip::role(shared);
@@ -190,9 +187,9 @@
     }
 }
 
-/// Pause after a read. All instances publish themselves when a deployment starts, and a
-/// read for each of them by each of them would be thousands of calls.
-/// Among few, a new instance is to be heard at once.
+/// Delay after a read. All instances publish themselves when a deployment starts; without the
+/// delay each of many would read once for each other one. Among few, a new instance should be
+/// found at once.
 fn read_delay(shared: &Shared, topic: Topic) -> Duration {
     let many = gossip::role(shared) != Role::Equal;
     match topic {
@@ -202,7 +199,7 @@
     }
 }
 
-/// Reads the newest record of each key; returns the offset to go on from.
+/// Reads the newest record of each key; returns the offset to continue from.
 async fn read_newest(
     shared: &Rc<Shared>,
     topic: Topic,
@@ -211,7 +208,7 @@
     let newest = shared.store.newest(topic).await?;
     shared.metrics.record_store_call("newest");
     if known.is_some_and(|known| newest.end < known) {
-        // The store is behind what was read from it before; nothing is taken back.
+        // The store has lost records that were read before; keep what is known.
         return Err(platform::Error::Malformed(format!(
             "newest records end at {}",
             newest.end
@@ -221,7 +218,7 @@
     Ok(newest.end)
 }
 
-/// Reads on; returns the offset to go on from.
+/// Reads records from an offset on; returns the offset to continue from.
 async fn read_tail(
     shared: &Rc<Shared>,
     topic: Topic,
@@ -232,7 +229,7 @@
     let sent_at = clock::now();
     let tail = match shared.store.read(topic, from, long_poll_timeout).await {
         Err(platform::Error::Expired(first)) => {
-            log::warn!(topic:?, from, first; "history is gone");
+            log::warn!(topic:?, from, first; "requested offset is no longer in the store; reading newest records");
             return read_newest(shared, topic, Some(from)).await;
         }
         tail => tail?,
@@ -240,8 +237,8 @@
     shared.metrics.record_store_call("read");
     let known = shared.topic(topic).position.get();
     let reached = apply_records(shared, topic, from, &tail.records).max(tail.next);
-    // Where many read for themselves, as when the store comes back, those to whom a fellow
-    // has passed the records on meanwhile do not do so again; the links would be full of them.
+    // When many instances read at once, as after a store outage, only those whose peers have
+    // not relayed the records meanwhile relay them; otherwise copies would fill the network.
     let has_news = !tail.records.is_empty() && known.is_none_or(|known| known < reached);
     let own = own(shared, topic);
     if has_news && shared.readers.borrow().passes_on(cause, own, sent_at) {
@@ -253,13 +250,13 @@
     Ok(reached)
 }
 
-/// Takes records from an offset on in, apart from those that are known already; returns
-/// the offset after the last one known.
+/// Applies records that start at an offset, skipping those already known; returns the offset
+/// after the last known one.
 pub fn apply_records(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) -> u64 {
     let topic_state = shared.topic(topic);
     let mut position = topic_state.position.get().unwrap_or(from);
     if from > position {
-        // Records in between are missing; they are read from the store.
+        // Records in between are missing and will be read from the store.
         return position;
     }
     records::retain_history(shared, topic, from, records);
@@ -274,7 +271,7 @@
     position
 }
 
-/// Knowledge of a topic was complete at `when`.
+/// Records that this instance's data of a topic was complete at `when`.
 pub fn prove(shared: &Shared, topic: Topic, when: Time) {
     let topic_state = shared.topic(topic);
     let mut freshness = topic_state.freshness.get();
@@ -288,16 +285,16 @@
     }
 }
 
-/// Has the configuration read at once, for a request that it would otherwise be too old
-/// for; requests that come meanwhile share the read. Nothing is tried while the store is
-/// known to be lost.
+/// Requests an immediate read of the configuration for a request for which it is too old, and
+/// waits for it. Concurrent requests share the read. Returns at once while the store is known
+/// to be unreachable.
 pub async fn verify(shared: &Shared) {
     let topic_state = shared.topic(Topic::Operators);
     if !topic_state.reachable.get() {
         return;
     }
     if topic_state.position.get().is_none() {
-        // The first read is under way.
+        // The first read is in progress.
         let _known = timeout(VERIFY_TIMEOUT, topic_state.read_done.notified()).await;
     }
     let read = topic_state.read_done.notified();
@@ -305,10 +302,9 @@
     let _answered = timeout(VERIFY_TIMEOUT, read).await;
 }
 
-/// Settles what time alone settles, and notes when the loop came late.
+/// Advances time-dependent state, and measures how late the event loop runs.
 ///
-/// One slow turn stalls every stream of the instance; callers then get events long after
-/// an engine made them, and nothing else would show why.
+/// A slow iteration delays every stream of the instance, and nothing else would show why.
 pub async fn tick(shared: Rc<Shared>) {
     loop {
         let started_at = clock::now();
@@ -318,7 +314,7 @@
         let late = now.since(started_at).saturating_sub(TICK_INTERVAL);
         shared.metrics.record_loop_lateness(late);
         if late > STALL_THRESHOLD {
-            log::warn!(late_ms = late.as_millis(), in_progress = shared.in_progress.get(); "loop stalled");
+            log::warn!(late_ms = late.as_millis(), in_progress = shared.in_progress.get(); "event loop stalled");
         }
     }
 }
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/progress.rs
@@ -1,44 +1,44 @@
-//! What has come of a request that is not answered yet.
+//! Attempts made for a request that has not been answered yet.
 
 use {
     crate::{clock, prelude::*},
     forward::request::Ticket,
 };
 
-/// Sends of one request, those that endpoints turned down included.
+/// Limit of sends for one request, rejected ones included.
 const MAX_SENDS: u32 = 4;
 
-/// What has come of a request that is not answered yet.
+/// Attempts made for a request that has not been answered yet.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// An endpoint's own failure, passed on if no other endpoint does better.
+    /// An endpoint's error response, returned if no other endpoint succeeds.
     pub failure: Option<Reply>,
-    /// Sends after which the request may have run.
+    /// Sends that the endpoint may have run.
     pub runs: u32,
-    /// Sends that reached an endpoint.
+    /// Sends that may have reached an endpoint.
     pub sends: u32,
-    /// Endpoints that were asked.
+    /// Endpoints that were tried.
     pub tried: Vec<EndpointKey>,
-    /// Why the last send brought no answer.
+    /// Why the last send got no usable response.
     pub why: String,
 }
 
 impl Progress {
-    /// An endpoint may have run the request, and there is no answer to pass on.
+    /// Records that an endpoint may have run the request without a usable response.
     pub fn note_run(&mut self, key: EndpointKey, why: String) {
         self.runs += 1;
         self.tried.push(key);
         self.why = why;
     }
 
-    /// An endpoint said that it did not run the request.
+    /// Records that an endpoint rejected the request without running it.
     pub fn note_rejected(&mut self, key: EndpointKey, why: String) {
         self.tried.push(key);
         self.why = why;
     }
 
-    /// Whether one more send is within the limits: the joint budget for all sends but the
-    /// first, and the runs that the route allows.
+    /// Whether one more send is within the limits: the route's limit of runs, the limit of
+    /// sends and, for a retry, the retry budget.
     #[must_use]
     pub fn may_send(&self, shared: &Shared, ticket: &Ticket) -> bool {
         if self.runs > 0 && !ticket.may_run_again(self.runs) {
@@ -49,18 +49,18 @@
         self.sends == 0 || (self.sends < MAX_SENDS && allowed(&mut shared.state.borrow_mut()))
     }
 
-    /// How the request ends without a success: with an endpoint's own failure, or the truthful
-    /// refusal.
+    /// Ends the request without success: with an endpoint's error response if there is one.
     ///
     /// # Errors
     ///
-    /// No endpoint has answered.
+    /// No endpoint has responded; see [`Self::give_up`].
     pub fn finish(&mut self, id: &str, refusal: Refusal) -> Result<Reply, Refusal> {
         let failure = self.failure.take();
         failure.ok_or_else(|| self.give_up(id, refusal))
     }
 
-    /// Gives the request up with the truthful refusal, whatever the last reason was.
+    /// Gives the request up. Once an endpoint may have run it, the result must not claim that
+    /// it was not run, so `refusal` becomes `TimedOut` or `Broken`.
     #[must_use]
     pub fn give_up(&self, id: &str, refusal: Refusal) -> Refusal {
         let reported = match refusal {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,4 @@
-//! Streams of events: from the first event to the end, across moves and lost engines.
+//! Event streams from the first event to the end, across moves and lost engines.
 
 mod failover;
 
@@ -20,29 +20,28 @@
     tokio::sync::mpsc,
 };
 
-/// Silence after which an engine is asked whether it still has the run. Events come some
-/// 30 ms apart, and pauses over 180 ms already count as late; a preempted run may pause
-/// longer, so the engine is asked before anything else is tried.
+/// Silence after which the engine is asked to stop the run. A preempted run may pause for
+/// long, so it is given up only after the engine has been asked.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Part of the longest pause that a route allows after which a stream goes on at the engine
-/// with its copy. When the way to an engine is cut without a reset, nothing is heard of it:
-/// events just stop. The other engine needs some 25 ms, so callers see no late event.
+/// Fraction of the route's longest allowed gap after which the engine with the backup copy
+/// takes the stream over. If the network drops packets without a reset, events just stop;
+/// taking over early avoids a late event.
 const QUIET_GAP_SHARE: f64 = 0.5;
 
-/// Longest pause between events where a route names none.
+/// Longest allowed gap between events where the route sets none.
 const DEFAULT_MAX_GAP: Duration = Duration::from_millis(180);
 
-/// Longest time that a caller may take to read before it counts as gone.
+/// Time after which a caller that does not read counts as disconnected.
 const CALLER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A move in progress.
 type PendingMove = Pin<Box<dyn Future<Output = TakeoverOutcome>>>;
 
-/// A stream on its way to the caller.
+/// Relays the events of one stream to its caller.
 #[derive(Debug)]
 pub struct Relay {
-    /// Whether the engine with the copy was asked in this silence.
+    /// Whether the engine with the backup copy has been asked since the last event.
     backup_asked: bool,
     guard: Option<RequestGuard>,
     first: Duration,
@@ -51,7 +50,7 @@
     longest_pause: Duration,
     next_move: Time,
     original: Rc<Original>,
-    /// Since when the engine is silent, counted anew after each attempt to go on elsewhere.
+    /// Since when the engine has been silent; reset after each attempt to resume elsewhere.
     quiet_since: Time,
     out: mpsc::Sender<Part>,
     progress: Progress,
@@ -63,26 +62,26 @@
     ticket: Ticket,
 }
 
-/// What a stream begins with.
+/// Initial state of a [`Relay`].
 #[derive(Debug)]
 pub struct RelayStart {
-    /// Counts the request as in progress.
+    /// Counts the request as in progress until dropped.
     pub guard: Option<RequestGuard>,
     /// The caller's request.
     pub original: Rc<Original>,
-    /// Where events go.
+    /// Channel to the caller's response body.
     pub out: mpsc::Sender<Part>,
-    /// What has come of the request so far.
+    /// Attempts made so far.
     pub progress: Progress,
     /// The run at its engine.
     pub running: RunGuard,
-    /// Where events come from.
+    /// Source of the events.
     pub source: EventSource,
     /// The request's ticket.
     pub ticket: Ticket,
 }
 
-/// What happened next.
+/// Next thing that happened to a stream.
 enum Step {
     CallerLeft,
     Events(Vec<Bytes>),
@@ -90,9 +89,9 @@
     Expired,
     Lost(String),
     Moved(TakeoverOutcome),
-    /// No event for a part of the pause that the route allows.
+    /// No event for [`QUIET_GAP_SHARE`] of the gap that the route allows.
     Quiet,
-    /// No event for long.
+    /// No event for [`SILENCE_TIMEOUT`].
     Silent,
 }
 
@@ -116,7 +115,7 @@
 }
 
 impl Relay {
-    /// A stream whose first events are there.
+    /// A relay for a stream whose first events have been read.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, start: RelayStart) -> Self {
         let now = clock::now();
@@ -143,11 +142,11 @@
         }
     }
 
-    /// Passes events on until the end.
+    /// Relays events until the stream ends.
     pub async fn run(mut self, blocks: Vec<Bytes>, ended: bool) {
         let ending = self.relay(blocks, ended).await;
         if matches!(ending, Ending::Complete) && self.out.send(Part::End).await.is_err() {
-            log::debug!(id = self.original.inbound.id; "caller left at the end");
+            log::debug!(id = self.original.inbound.id; "caller disconnected at the end of the stream");
         }
         let took = clock::now().since(self.original.inbound.arrived);
         let why = match &ending {
@@ -208,14 +207,14 @@
         }
     }
 
-    /// Begins to move the run if its engine is leaving.
+    /// Starts to move the run if its engine is leaving.
     fn start_move(&mut self, pending_move: &mut Option<PendingMove>) {
         let now = clock::now();
         if pending_move.is_some() || now < self.next_move || !self.is_leaving() {
             return;
         }
         if self.backup_takeover().is_none() && self.ends_soon() {
-            // Its copy would take the link from runs that cannot end in time.
+            // Copying it would take bandwidth from runs that cannot end in time.
             return;
         }
         log::info!(id = self.original.inbound.id, events = self.sequence.count(); "move begins");
@@ -224,7 +223,7 @@
         ));
     }
 
-    /// Asks the engine with the copy to go on, as nothing comes from the run's own.
+    /// Asks the engine with the backup copy to take over, since the run's own engine is quiet.
     fn take_over_at_backup(&mut self, pending_move: &mut Option<PendingMove>) {
         self.backup_asked = true;
         if pending_move.is_some() {
@@ -237,7 +236,7 @@
         }
     }
 
-    /// The copy, if its engine is in good health.
+    /// The backup copy, if its engine is healthy.
     fn healthy_takeover(&self) -> Option<Takeover> {
         let healthy = {
             let state = self.shared.state.borrow();
@@ -247,7 +246,7 @@
             .filter(|takeover| Some(takeover.key) == healthy)
     }
 
-    /// What a send to another engine needs, without the stream itself.
+    /// The data that a takeover needs, without the stream itself.
     fn takeover_context(&self) -> TakeoverContext {
         TakeoverContext {
             last_event: Rc::clone(&self.last_event),
@@ -290,7 +289,7 @@
         }
     }
 
-    /// Silence after which the engine with the copy is asked.
+    /// Silence after which the engine with the backup copy is asked to take over.
     fn quiet_timeout(&self) -> Option<Duration> {
         let gap = self.ticket.route.gap.unwrap_or(DEFAULT_MAX_GAP);
         Some(gap.mul_f64(QUIET_GAP_SHARE)).filter(|quiet_timeout| *quiet_timeout < SILENCE_TIMEOUT)
@@ -300,7 +299,7 @@
         match part {
             Err(error) => Step::Lost(error.to_string()),
             Ok(None) if self.source.splitter.unfinished() => {
-                Step::Lost("ended inside an event".to_string())
+                Step::Lost("connection closed inside an event".to_string())
             }
             Ok(None) => Step::Ended,
             Ok(Some(part)) => match self.source.splitter.feed(part) {
@@ -337,7 +336,7 @@
     }
 }
 
-/// The end of a move, if one is in progress.
+/// Waits for the pending move; never returns if there is none.
 async fn ended(pending_move: &mut Option<PendingMove>) -> TakeoverOutcome {
     match pending_move {
         Some(pending_move) => pending_move.await,
--- a/crates/proxy/src/relay/failover.rs
+++ b/crates/proxy/src/relay/failover.rs
@@ -1,4 +1,4 @@
-//! Going on elsewhere: when the engine of a stream leaves, falls silent or is lost.
+//! Resuming a stream at another engine when its own is leaving, silent or lost.
 
 use {
     super::{Ending, PendingMove, Relay},
@@ -12,29 +12,28 @@
     forward::choice::Need,
 };
 
-/// Times that a stream may go on elsewhere; an engine lives some ten seconds at the least,
-/// a generation about as long.
+/// Limit of takeovers for one stream.
 const MAX_TAKEOVERS: u32 = 8;
 
-/// How long the end of a stopped run's stream is waited for; its last events are on
-/// their way when the move is answered.
+/// Limit for each read of a stopped run's last events, which may still be in transit when
+/// the engine confirms the stop.
 const LAST_EVENTS_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Longest time that a place is waited for to begin a stream again. Callers bear a pause of
-/// two seconds at the least, of which the prompt takes half a second to be read again.
+/// Limit for queueing when a stream is restarted. Callers tolerate a pause of two seconds, of
+/// which a repeated prefill takes half a second.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Times that an engine is asked to stop a run beside which another one may be at work, and
-/// the pause between them, while a move of the run is under way. Together they are less than
-/// the time for which two may work on a run.
+/// Attempts to stop a run that another engine may have taken over, while a move of the run is
+/// in progress. With [`STOP_RETRY_DELAY`] they take less time than two engines may work on a
+/// run.
 const MAX_STOP_TRIES: u32 = 3;
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Pause before a move is tried again.
+/// Delay before a move is retried.
 const MOVE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Relay {
-    /// The engine broke the stream off: because it was told to stop for a move, or died.
+    /// Handles the end of the engine's connection: it was stopped for a move, or failed.
     pub(super) async fn lost(
         &mut self,
         pending_move: Option<PendingMove>,
@@ -65,7 +64,7 @@
         Ok(())
     }
 
-    /// Reads what a stopped run had still sent.
+    /// Relays the events that a stopped run had already sent.
     async fn last_events(&mut self) -> Result<(), Ending> {
         while let Ok(Ok(Some(part))) = timeout(LAST_EVENTS_TIMEOUT, self.source.answer.part()).await
         {
@@ -77,7 +76,8 @@
         Ok(())
     }
 
-    /// No event for long: the engine may have died without a word, or the run waits.
+    /// Handles a long silence: the engine may have failed without a reset, or the run may be
+    /// preempted.
     pub(super) async fn silent(&mut self) -> Result<(), Ending> {
         let id = self.original.inbound.id.clone();
         log::info!(id, events = self.sequence.count(); "stream is silent");
@@ -87,23 +87,23 @@
         }
     }
 
-    /// Another engine that does not answer may have gone on with the run, and would be at
-    /// work on it beside the present one: a stream that cannot be repeated would run twice.
-    /// So the run is stopped where it can be reached, and goes on from there.
+    /// Another engine that does not answer may have taken the run over, so that two engines
+    /// would run a stream that must not be repeated. Stops the run where it can be reached,
+    /// and resumes from there.
     async fn stop_duplicate(&mut self, other: EndpointKey) -> Result<(), Ending> {
         let id = self.original.inbound.id.clone();
-        log::info!(id, events = self.sequence.count(); "two engines may be at work");
+        log::info!(id, events = self.sequence.count(); "two engines may be running the stream");
         for _ in 0..MAX_STOP_TRIES {
             match relocate::stop(&self.shared, self.running.key, &id, Some(other)).await {
                 relocate::StopOutcome::Busy => sleep(STOP_RETRY_DELAY).await,
-                stopped => return self.stopped(stopped, "two at work").await,
+                stopped => return self.stopped(stopped, "duplicate run").await,
             }
         }
-        let lost = "two engines may be at work, and none can be stopped".to_string();
-        self.restart("two at work", lost).await
+        let lost = "two engines may be running the stream, and none can be stopped".to_string();
+        self.restart("duplicate run", lost).await
     }
 
-    /// Goes on with a run that was to be stopped.
+    /// Resumes a run after an attempt to stop it.
     async fn stopped(&mut self, stop: relocate::StopOutcome, why: &str) -> Result<(), Ending> {
         match stop {
             relocate::StopOutcome::Busy => Ok(()),
@@ -119,10 +119,10 @@
         }
     }
 
-    /// The engine cannot be reached, or has the run no more. It may be at work behind a
-    /// partition, or have ended the run with its last events still on their way, which come
-    /// late when that heals. So the stream is lost only once another engine may have gone on
-    /// with it, or its connection breaks.
+    /// The engine cannot be reached, or no longer has the run. It may still be running it
+    /// behind a network partition, or have finished with its last events in transit. So the
+    /// stream is lost only once another engine may have taken it over or its connection
+    /// breaks.
     async fn take_over_or_wait(&mut self, why: &str) -> Result<(), Ending> {
         let refusal = match self.backup_takeover() {
             None => "no copy".to_string(),
@@ -144,8 +144,8 @@
         Ok(())
     }
 
-    /// The engine is lost: goes on from the copy, else begins again behind the last event
-    /// where that is allowed.
+    /// The engine is lost: takes over from the backup copy, or else restarts after the last
+    /// event if the route allows it.
     async fn take_over_or_restart(&mut self, why: &str) -> Result<(), Ending> {
         match self.backup_takeover() {
             None => self.restart(why, format!("{why}; no copy")).await,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Begins again behind the last event, if the stream is resumable; else it is lost.
+    /// Restarts after the last event if the stream is resumable; otherwise it is lost.
     async fn restart(&mut self, why: &str, lost: String) -> Result<(), Ending> {
         self.progress.note_run(self.source.key, why.to_string());
         while self.progress.may_send(&self.shared, &self.ticket) {
@@ -169,12 +169,12 @@
         Err(Ending::Lost(lost))
     }
 
-    /// Whether the stream may begin again behind its last event once this run is given up.
+    /// Whether the stream may restart after its last event once this run is given up.
     fn may_run_again(&self) -> bool {
         self.ticket.may_run_again(self.progress.runs + 1)
     }
 
-    /// Asks another engine to begin behind the last event; `None` if it would not.
+    /// Asks another engine to start after the last event; `None` if it did not.
     async fn resume(&mut self, why: &str) -> Result<Option<Opened>, String> {
         let deadline = clock::now().after(RESUME_TIMEOUT).min(self.ticket.expires);
         let need = self.remaining_need();
@@ -191,7 +191,7 @@
         };
         match self.shared.readmit(&self.original, &mut self.ticket) {
             Ok(true) => {}
-            Ok(false) => return Err(format!("{why}; its route goes to another service")),
+            Ok(false) => return Err(format!("{why}; its route now uses another service")),
             Err(refusal) => return Err(format!("{why}; {}", refusal.label())),
         }
         self.progress.sends += 1;
@@ -209,7 +209,7 @@
         }
     }
 
-    /// What the rest of the run needs.
+    /// Tokens that the rest of the run needs.
     fn remaining_need(&self) -> Need {
         let state = self.shared.state.borrow();
         let run = state.run(self.running.key);
@@ -219,7 +219,7 @@
         })
     }
 
-    /// The copy that was made while the run went on.
+    /// The backup copy of the run, if its engine may continue it.
     pub(super) fn backup_takeover(&self) -> Option<Takeover> {
         let key = {
             let state = self.shared.state.borrow();
@@ -233,11 +233,11 @@
         })
     }
 
-    /// Goes on from a copy, with the run before it stopped or dead.
+    /// Takes over from a copy after the previous run has stopped or failed.
     async fn take_over(&mut self, takeover: Takeover, why: &str) -> Result<(), Ending> {
         self.takeovers += 1;
         if self.takeovers > MAX_TAKEOVERS {
-            return Err(Ending::Lost(format!("{why}; moved too often")));
+            return Err(Ending::Lost(format!("{why}; too many takeovers")));
         }
         match self.takeover_context().open_from_copy(&takeover, why).await {
             Ok(opened) => {
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Goes on at an engine that has taken the run over, and drops the run before it.
+    /// Continues with an engine that has taken the run over, and drops the previous run.
     fn switch_over(&mut self, opened: Opened) {
         self.takeovers += 1;
         self.attach(opened);
--- a/crates/proxy/src/relocate.rs
+++ b/crates/proxy/src/relocate.rs
@@ -1,59 +1,58 @@
-//! Moving the KV memory of runs between engines.
+//! Moving the KV cache of runs between engines.
 
 use {
     crate::{clock, gossip, prelude::*},
     platform::engine::{self, Move},
 };
 
-/// Longest time for a copy: 4,000 tokens take 0.44 s between failure domains, and
-/// several may be queued on a link.
+/// Limit for copying a run. 4,000 tokens take 0.44 s between failure domains, and several
+/// copies may be queued on a link.
 pub const MOVE_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// How long an engine may take to stop a run and copy it. One that is dead is found out
-/// sooner, since the question goes on a connection of its own.
+/// Limit for stopping a run and copying it. A dead engine is detected sooner, since the
+/// request uses a new connection.
 const STOP_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Answers to moves are a few dozen bytes.
+/// Size limit of an engine's response to a move.
 const MAX_ANSWER_BYTES: usize = 1 << 16;
 
-/// Where a run can go on.
+/// A copy of a run and the engine that can continue it.
 #[derive(Clone, Debug)]
 pub struct Takeover {
-    /// Engine at which the copy is named.
+    /// Engine that knows the copy by its handle.
     pub address: SocketAddr,
-    /// Name of the copy.
+    /// Handle of the copy.
     pub handle: String,
-    /// Engine to go on at.
+    /// Engine that can continue the run.
     pub key: EndpointKey,
 }
 
-/// What came of a move.
+/// Result of a move.
 #[derive(Clone, Debug)]
 pub enum MoveOutcome {
-    /// The run goes on where it is; the move may be tried again.
+    /// The run stays where it is, for this reason; the move may be retried.
     Deferred(String),
-    /// Its copy is complete; the run goes on where it is until it is taken over.
+    /// The copy is complete; the run continues where it is until it is taken over.
     Ready(Takeover),
 }
 
-/// What came of stopping a run that is silent.
+/// Result of stopping a silent run.
 #[derive(Clone, Debug)]
 pub enum StopOutcome {
-    /// A move of the run is under way.
+    /// A move of the run is in progress, or no other engine has room for it.
     Busy,
     /// The engine does not have the run.
     Gone,
-    /// The run has stopped and can go on there.
+    /// The run has stopped and can be resumed there.
     Stopped(Takeover),
     /// The engine does not answer.
     Unreachable,
 }
 
-/// Copies a run to another engine while it goes on.
+/// Copies a run to another engine while it continues.
 ///
-/// The other engine can go on from the copy and reads the few tokens anew that were made
-/// meanwhile, so the run need not be stopped for a last copy. A last copy waits behind
-/// others on the link, and an engine that leaves is often gone before it is through.
+/// The other engine recomputes the few tokens generated since the copy, so the run need not
+/// be stopped for a final copy, which might queue on the link until after the engine has left.
 pub async fn move_run(shared: &Rc<Shared>, run: RunKey, id: &str) -> MoveOutcome {
     let mut tried = Vec::new();
     loop {
@@ -78,15 +77,15 @@
                 continue;
             }
             Ok(Move::NoRun) => MoveOutcome::Deferred("engine does not have the run".to_string()),
-            Ok(Move::Busy) => MoveOutcome::Deferred("a move is under way".to_string()),
+            Ok(Move::Busy) => MoveOutcome::Deferred("a move is in progress".to_string()),
             Err(why) => MoveOutcome::Deferred(why),
         };
     }
 }
 
-/// Stops a run that is silent and moves it to another engine with room. If there is none and
-/// `duplicate` names an engine that may be at work on the run too, the run is stopped all the
-/// same, with that one for its target, and goes on at its own engine.
+/// Stops a silent run and moves it to another engine with room. If there is none and
+/// `duplicate` names an engine that may also be running it, the run is stopped with that
+/// engine as its target, and resumes at its own engine.
 pub async fn stop(
     shared: &Rc<Shared>,
     run: RunKey,
@@ -100,7 +99,7 @@
         return StopOutcome::Busy;
     };
     let result = call(shared, &ends, id, true, STOP_TIMEOUT).await;
-    log::info!(id, result:?; "asked a silent engine");
+    log::info!(id, result:?; "stop requested from engine");
     match result {
         Ok(Move::Busy) => StopOutcome::Busy,
         Ok(Move::Copied { handle, .. }) => StopOutcome::Stopped(Takeover {
@@ -122,7 +121,7 @@
     }
 }
 
-/// Both ends of a move.
+/// Source and target of a move.
 struct MoveEnds {
     source: SocketAddr,
     source_key: EndpointKey,
@@ -174,5 +173,5 @@
     };
     timeout(wait, asked)
         .await
-        .unwrap_or_else(|_| Err("no answer in time".to_string()))
+        .unwrap_or_else(|_| Err("no response within the time limit".to_string()))
 }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events: from the request to the first event.
+//! Event streams, from the request to the first event.
 
 use {
     crate::{
@@ -18,22 +18,22 @@
     tokio::sync::mpsc,
 };
 
-/// Share of the target for the first event in which a place is waited for; what is left
-/// is needed for reading the prompt.
+/// Fraction of the target for the first event for which a request may queue; the rest is
+/// needed for prefill.
 const QUEUE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// Parts that wait for a caller who reads slowly.
+/// Limit of body parts buffered for a caller that reads slowly.
 const MAX_BUFFERED_PARTS: usize = 256;
 
-/// Output tokens expected where the caller gives no bound: a few hundred are typical.
+/// Expected output tokens where the caller gives no limit.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// Serves a request for a stream: its answer begins with the first event, so that a
-/// failure before it has a status.
+/// Serves a request for a stream. The response starts with the first event, so that a failure
+/// before it can still be reported by status.
 ///
 /// # Errors
 ///
-/// The truthful refusal or failure.
+/// Why the request got no response; see [`Progress::give_up`].
 pub async fn serve(
     shared: &Rc<Shared>,
     original: &Rc<Original>,
@@ -60,7 +60,7 @@
             progress.why = "no engine with room".to_string();
             return Err(progress.give_up(id, Refusal::Full));
         };
-        // No event has reached the caller, so the newest configuration decides.
+        // No event has reached the caller yet, so the newest configuration applies.
         match shared.readmit(original, &mut ticket) {
             Ok(true) => {}
             Ok(false) => continue,
@@ -99,7 +99,8 @@
                 return Ok(reply);
             }
             OpenOutcome::NotReached => {
-                // It never arrived, so it counts neither as a try nor for the budget.
+                // The request never arrived, so it counts neither as an attempt nor against
+                // the retry budget.
                 progress.sends -= 1;
                 shared.refund_send(&ticket.service, progress.sends > 0);
             }
@@ -113,7 +114,7 @@
     }
 }
 
-/// Output tokens to expect: the caller's own estimate, right at the median.
+/// Expected output tokens: the caller's estimate, at most its limit.
 fn expected_output_tokens(inbound: &Inbound) -> u32 {
     let most = if inbound.most_output == 0 {
         DEFAULT_OUTPUT_TOKENS
@@ -151,7 +152,7 @@
     RunGuard::new(shared, run)
 }
 
-/// A stream whose first events are there.
+/// A stream whose first events have been read.
 struct OpenedStream {
     blocks: Vec<Bytes>,
     ended: bool,
@@ -164,7 +165,7 @@
     NotReached,
     NotRun(String),
     Stream(Box<OpenedStream>),
-    /// It may have run: what to tell the caller, and why.
+    /// The engine may have run the request: what to return to the caller, and why.
     Unknown(Refusal, String),
 }
 
@@ -190,17 +191,17 @@
         match exchange::send(shared, original, &destination, limit).await {
             SendOutcome::NotWritten(why) => {
                 shared.mark_unreachable(key);
-                log::info!(id = original.inbound.id, why; "engine not reached");
+                log::info!(id = original.inbound.id, why; "cannot reach engine");
                 OpenOutcome::NotReached
             }
             SendOutcome::Unknown(why) => fail(shared, key, why),
             SendOutcome::Answer(answer, flags) if flags.not_run => {
                 shared.mark_rejected(key, answer.status());
-                OpenOutcome::NotRun(format!("turned down with {}", answer.status()))
+                OpenOutcome::NotRun(format!("rejected with {}", answer.status()))
             }
             SendOutcome::Answer(answer, flags) if answer.status() == StatusCode::OK => {
                 if !flags.sealed || flags.encoded {
-                    return fail(shared, key, "improper answer".to_string());
+                    return fail(shared, key, "invalid response".to_string());
                 }
                 first_event(shared, key, answer).await
             }
@@ -218,7 +219,7 @@
     OpenOutcome::Unknown(Refusal::Broken, why)
 }
 
-/// Reads until an event is whole.
+/// Reads until the first event is complete.
 async fn first_event(
     shared: &Shared,
     key: EndpointKey,
@@ -254,7 +255,7 @@
     }
 }
 
-/// Passes on an answer that is no stream.
+/// Returns a response that is not a stream.
 async fn non_stream_answer(
     shared: &Shared,
     key: EndpointKey,
@@ -263,7 +264,7 @@
     let status = answer.status();
     shared.record_answer(key, status.is_server_error());
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
-        return fail(shared, key, format!("improper answer with {status}"));
+        return fail(shared, key, format!("invalid response with {status}"));
     }
     let headers = head::answer(answer.headers());
     match answer.whole(endpoint::sse::MOST).await {
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Asking another engine to go on with a run.
+//! Asking another engine to take a run over.
 
 use {
     crate::{
@@ -12,50 +12,50 @@
     platform::head,
 };
 
-/// How long a takeover may take to answer. The reader has left by then.
+/// Limit for the head of the response to a takeover.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How long a run may be at work at its engine and be asked for at another one. An engine
-/// answers within 15 ms; both may work on it for 400 ms.
+/// Limit for a takeover while the run's own engine may still be running it. Engines allow two
+/// of them to run it for 400 ms.
 const MAX_OVERLAP: Duration = Duration::from_millis(250);
 
-/// Where events come from.
+/// Source of a stream's events.
 #[derive(Debug)]
 pub struct EventSource {
-    /// The answer, whose body is read on.
+    /// The engine's response, whose body is still being read.
     pub answer: endpoint::client::Reply,
-    /// Cuts the body into events.
+    /// Splits the body into events.
     pub splitter: Cutter,
     /// The engine.
     pub key: EndpointKey,
 }
 
-/// What came of a move.
+/// Result of a move or takeover.
 #[derive(Debug)]
 pub enum TakeoverOutcome {
-    /// The engine that holds the copy goes on; the run before it is to be dropped.
+    /// The engine that holds the copy continues the run; the previous one is to be dropped.
     Opened(Box<Opened>),
-    /// The run goes on where it is; a move may be tried again.
+    /// The run stays where it is, for this reason; a move may be retried.
     Deferred(String),
-    /// Another engine was asked and has not said whether it goes on.
+    /// The other engine has not confirmed or refused the takeover.
     Unknown(EndpointKey),
 }
 
-/// A run that goes on at another engine.
+/// A run that another engine has taken over.
 #[derive(Debug)]
 pub struct Opened {
-    /// Engine that keeps its next copy.
+    /// Engine that holds its next backup copy.
     pub backup: Option<EndpointKey>,
-    /// Where its events come from.
+    /// Source of its events.
     pub source: EventSource,
 }
 
-/// Why an engine does not go on with a run.
+/// Why a takeover failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// It has not run anything.
+    /// The engine has not run anything.
     NotRun(String),
-    /// It may be at work.
+    /// The engine may be running it.
     Unknown(String),
 }
 
@@ -66,28 +66,28 @@
     }
 }
 
-/// What a send to another engine needs.
+/// The data that a takeover needs.
 #[derive(Debug)]
 pub struct TakeoverContext {
-    /// Id of the last event that was passed on, kept up to date.
+    /// Id of the last event sent to the caller, kept up to date.
     pub last_event: Rc<RefCell<Option<String>>>,
     /// The caller's request.
     pub original: Rc<Original>,
     /// The run.
     pub run: RunKey,
-    /// What all tasks share.
+    /// State shared by all tasks.
     pub shared: Rc<Shared>,
     /// The request's ticket.
     pub ticket: Ticket,
 }
 
 impl TakeoverContext {
-    /// Goes on at the engine that holds a copy, if there is a sound one; else moves the
-    /// run's KV memory.
+    /// Takes over at the engine with the backup copy if it is healthy; otherwise moves the
+    /// run's KV cache.
     ///
-    /// The copy lacks only the last few tokens, so the engine that holds it goes on at
-    /// once, while a move waits for other moves on the link. The run before goes on until the
-    /// other engine has answered, so nothing is lost if the copy turns out missing.
+    /// The backup lacks only the last few tokens, so its engine can continue at once, while a
+    /// move queues behind others on the link. The run continues until the other engine has
+    /// responded, so nothing is lost if the copy is missing.
     pub async fn move_run(self, backup: Option<Takeover>) -> TakeoverOutcome {
         let healthy = self
             .shared
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Goes on at the engine that holds a copy, or not at all.
+    /// Takes over at the engine that holds a copy; does not fall back to a move.
     pub async fn take_over(self, takeover: Takeover, why: &'static str) -> TakeoverOutcome {
         self.open_within_overlap(&takeover, why).await
     }
 
-    /// Asks an engine to go on while the run before it may still be at work.
+    /// Asks an engine to take over while the previous engine may still be running.
     async fn open_within_overlap(&self, takeover: &Takeover, why: &str) -> TakeoverOutcome {
         match timeout(MAX_OVERLAP, self.open_from_copy(takeover, why)).await {
             Ok(Ok(opened)) => TakeoverOutcome::Opened(Box::new(opened)),
@@ -121,11 +121,11 @@
         }
     }
 
-    /// Asks an engine to go on from a copy.
+    /// Asks an engine to continue from a copy.
     ///
     /// # Errors
     ///
-    /// It refused, or did not answer.
+    /// The engine refused, or did not respond.
     pub async fn open_from_copy(&self, takeover: &Takeover, why: &str) -> Result<Opened, Failure> {
         let source = head::Source {
             address: takeover.address,
@@ -134,11 +134,11 @@
         self.ask(takeover.key, Some(&source), why).await
     }
 
-    /// Asks an engine to begin a resumable stream behind the last event of the caller's.
+    /// Asks an engine to start a resumable stream after the caller's last event.
     ///
     /// # Errors
     ///
-    /// It refused, or did not answer.
+    /// The engine refused, or did not respond.
     pub async fn resume(&self, key: EndpointKey, why: &str) -> Result<Opened, Failure> {
         self.ask(key, None, why).await
     }
