--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,11 +1,11 @@
-//! The one place where the clock is read.
+//! The only place where the clock is read.
 
 use {crate::prelude::*, rustix::time::ClockId};
 
-/// The present, on a clock that goes on while the machine is suspended.
+/// The current time, on a clock that keeps running while the machine is suspended.
 ///
-/// The usual monotonic clock stands still then, and knowledge would look fresh after a
-/// sleep in which a key was taken away.
+/// `CLOCK_MONOTONIC` stops then, and a key that was revoked meanwhile would still be accepted
+/// after the machine resumes.
 #[must_use]
 pub fn now() -> Time {
     let time = rustix::time::clock_gettime(ClockId::Boottime);
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors that keep an instance from starting.
+//! Errors that prevent an instance from starting.
 
 use crate::prelude::*;
 
-/// Why an instance cannot run.
+/// Why an instance cannot start.
 #[derive(Debug)]
 pub enum Error {
-    /// An address cannot be listened at.
+    /// Cannot listen on an address.
     Listen(SocketAddr, std::io::Error),
     /// The metrics cannot be set up.
     Metrics(String),
     /// A file cannot be read.
     Read(String, std::io::Error),
-    /// The settings have a fault: file and reason, which names the key and the line.
+    /// The settings are invalid: file and reason.
     Settings(String, String),
     /// Signals cannot be received.
     Signals(std::io::Error),
@@ -20,7 +20,7 @@
 impl Display for Error {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
-            Self::Listen(address, error) => write!(f, "cannot listen at {address}: {error}"),
+            Self::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
             Self::Metrics(error) => write!(f, "cannot set up metrics: {error}"),
             Self::Read(file, error) => write!(f, "{file}: {error}"),
             Self::Settings(file, error) => write!(f, "{file}: {error}"),
--- a/crates/proxy/src/gossip/connections.rs
+++ b/crates/proxy/src/gossip/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to fellow instances.
+//! Connections to peers.
 
 use {
     super::role,
@@ -10,15 +10,15 @@
     },
 };
 
-/// Pause before a fellow that could not be reached is tried again.
+/// Interval at which missing connections are opened.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Rounds after which an instance opens a connection that the other one should have opened;
-/// views of who talks to whom differ at times.
+/// Rounds after which an instance opens a connection that the peer should have opened: both
+/// may disagree temporarily about who connects to whom.
 const PEER_OPEN_ROUNDS: u32 = 2;
 
-/// Keeps connections to those that this instance talks to. Where both talk to each other,
-/// the one with the lower address opens it.
+/// Maintains connections to the peers to which this instance sends. Where both send to each
+/// other, the one with the lower address opens the connection.
 pub async fn maintain(shared: &Shared, datagrams: &DatagramSocket, pins: &Pins, own: SocketAddr) {
     let mut missing = Vec::<(SocketAddr, u32)>::new();
     loop {
@@ -55,22 +55,22 @@
     }
 }
 
-/// Passes over fellows that owe an answer, and closes their connections: one that has been
-/// restarted at its address does not say so, and what is sent to it is lost for seconds.
+/// Skips peers that do not answer, and closes their connections: if one has been restarted at
+/// its address, data on the old connection is lost until it times out.
 pub fn skip_unresponsive(shared: &Shared, datagrams: &DatagramSocket) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     let silent = state.members.settle(now);
     for key in silent {
         let name = state.members.name(key);
-        log::info!(fellow = name; "fellow instance passed over, it does not answer");
+        log::info!(fellow = name; "peer instance does not answer; skipped");
         if let Some(address) = shared.peers.address(name) {
             datagrams.close(address);
         }
     }
 }
 
-/// Addresses of those that this instance talks to, and whether they talk to it.
+/// Addresses of the peers to which this instance sends, and whether they send to it.
 fn wanted(shared: &Shared) -> Vec<(SocketAddr, bool)> {
     let state = shared.state.borrow();
     let own = &shared.settings.instance.name;
@@ -86,7 +86,7 @@
     let datagrams = datagrams.clone();
     tokio::task::spawn_local(async move {
         if let Err(error) = datagrams.connect(address).await {
-            log::debug!(address:%, error:%; "fellow instance not reached");
+            log::debug!(address:%, error:%; "cannot reach peer instance");
         }
     });
 }
--- a/crates/proxy/src/gossip/history.rs
+++ b/crates/proxy/src/gossip/history.rs
@@ -1,27 +1,27 @@
-//! The last records of a topic, for members that lack some.
+//! Recent records of a topic, for members that lack some.
 
 use {crate::prelude::*, platform::store::Keyed, std::collections::VecDeque};
 
-/// Bytes of records of a topic that are kept for members which lack some.
+/// Limit of keys and values retained for each topic.
 pub const MAX_HISTORY_BYTES: usize = 128 << 10;
 
-/// Pause before a member gets the records that it lacks again.
+/// Delay before missing records are sent to the same member again.
 const RESEND_DELAY: Duration = Duration::from_millis(300);
 
-/// The last records of a topic without a gap, for members that lack some.
+/// Recent records of a topic without a gap.
 #[derive(Debug, Default)]
 pub struct History {
     bytes: usize,
     records: VecDeque<Keyed>,
     /// Offset after the last record.
     next: u64,
-    /// When each member was sent what it lacks, sorted by name.
+    /// When missing records were last sent to each member, sorted by name.
     sent: Vec<(String, Time)>,
 }
 
 impl History {
-    /// Takes records in that begin at an offset; those before it are dropped if some are
-    /// missing between.
+    /// Adds records that start at an offset; drops all earlier ones if some in between are
+    /// missing.
     pub fn add(&mut self, from: u64, records: &[Keyed]) {
         if from > self.next {
             self.records.clear();
@@ -41,7 +41,8 @@
         }
     }
 
-    /// The records from an offset on, unless some of them are not kept.
+    /// The records from an offset on; `None` if some of them are not retained, or there are
+    /// none.
     #[must_use]
     pub fn since(&self, from: u64) -> Option<Vec<Keyed>> {
         let first = self.records.front()?.offset;
@@ -52,7 +53,7 @@
         Some(since.cloned().collect())
     }
 
-    /// Whether a member may be sent records now; it is taken as sent.
+    /// Whether records may be sent to a member now; if so, counts them as sent.
     pub fn due(&mut self, member: &str, now: Time) -> bool {
         self.sent
             .retain(|(_, sent)| now.since(*sent) < RESEND_DELAY);
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -1,12 +1,12 @@
-//! Words between instances: load, the age of knowledge, and records that were read.
+//! Gossip between instances: load, watermarks, and records read from the store.
 //!
-//! * [`entry`]: how an instance makes itself known in the store;
-//! * [`connections`]: to whom it keeps connections;
-//! * [`report`]: what it says, and how often;
-//! * [`receive`]: what it takes from the words of others;
-//! * [`records`]: how records of the store travel, and [`history`], what is kept of them.
+//! * [`registration`]: the instance's entry in the store;
+//! * [`connections`]: connections to peers;
+//! * [`report`]: sending reports, sums and answers;
+//! * [`receive`]: handling messages of peers;
+//! * [`records`]: relaying records of the store, with [`history`] for those that are retained.
 //!
-//! Who says what to whom is decided in [`forward::aggregate`].
+//! [`forward::aggregate`] decides who sends what to whom.
 
 pub mod connections;
 pub mod history;
@@ -26,10 +26,11 @@
     tokio::sync::mpsc,
 };
 
-/// Datagrams that wait to be read.
+/// Capacity of the queue of received messages.
 const RECEIVE_QUEUE_LENGTH: usize = 256;
 
-/// Publishes this instance, then tells fellows of its load and hears of theirs, for ever.
+/// Publishes this instance, and exchanges messages with peers; returns only if that cannot be
+/// set up.
 pub async fn run(shared: Rc<Shared>) {
     let (received, messages) = mpsc::channel(RECEIVE_QUEUE_LENGTH);
     let pins = Pins::default();
@@ -43,7 +44,7 @@
     let (identity, datagrams, address) = match started {
         Ok(started) => started,
         Err(error) => {
-            log::error!(error:%; "no exchange with fellow instances");
+            log::error!(error:%; "cannot exchange messages with peer instances");
             return;
         }
     };
@@ -63,7 +64,7 @@
     );
 }
 
-/// Part of this instance in what instances tell each other.
+/// Role of this instance in the gossip.
 #[must_use]
 pub fn role(shared: &Shared) -> Role {
     let state = shared.state.borrow();
--- a/crates/proxy/src/gossip/receive.rs
+++ b/crates/proxy/src/gossip/receive.rs
@@ -1,4 +1,4 @@
-//! What an instance takes from the words of others.
+//! Handling of messages from peers.
 
 use {
     super::{records, report, role},
@@ -16,18 +16,18 @@
     tokio::sync::mpsc,
 };
 
-/// Hears for ever.
+/// Handles messages until the channel closes.
 pub async fn run(shared: &Shared, datagrams: &DatagramSocket, mut messages: mpsc::Receiver<Bytes>) {
     while let Some(data) = messages.recv().await {
         match postcard::from_bytes::<Message>(&data) {
             Ok(Message::Answer(answer)) => handle_answer(shared, answer),
             Ok(Message::Records(data)) => match Batch::decompress(&data) {
                 Ok(batch) => records::receive(shared, batch),
-                Err(error) => log::warn!(error:%; "records of a fellow instance cannot be read"),
+                Err(error) => log::warn!(error:%; "cannot decode records from peer instance"),
             },
             Ok(Message::Report(report)) => handle_report(shared, datagrams, report),
             Ok(Message::Sum(sum)) => handle_sum(shared, sum),
-            Err(error) => log::warn!(error:%; "message of a fellow instance cannot be read"),
+            Err(error) => log::warn!(error:%; "cannot decode message from peer instance"),
         }
     }
 }
@@ -41,8 +41,8 @@
         let mut state = shared.state.borrow_mut();
         state.fellows.hear(&report.name, now, report.number, loads);
     } else if shared.in_own_domain(&report.name) {
-        // A report of another domain, whose sender takes instances for few yet, is counted
-        // in the sum of its own domain.
+        // Reports from other domains, whose senders do not yet know that instances are many,
+        // are skipped: their load is part of their own domain's sum.
         shared.apply_report(now, &report.name, report.number, loads);
         report::answer(shared, datagrams, &report);
         if report.held_version.is_some() {
@@ -112,10 +112,10 @@
     handle_watermarks(shared, &sum.name, true, sum.echo, sum.watermarks);
 }
 
-/// Notes life and number of a fellow's message; what it said in an earlier life is over.
+/// Records incarnation and number of a peer's message; drops reports of an earlier incarnation.
 fn note_sender(shared: &Shared, name: &str, incarnation: u64, number: u64) {
     if shared.peers.record_report(name, incarnation, number) {
-        log::info!(fellow = name; "fellow instance has started anew");
+        log::info!(fellow = name; "peer instance restarted");
         shared.state.borrow_mut().fellows.forget(name);
     }
 }
--- a/crates/proxy/src/gossip/records.rs
+++ b/crates/proxy/src/gossip/records.rs
@@ -1,4 +1,4 @@
-//! Records of the store on their way between instances.
+//! Relaying of records of the store between instances.
 
 use {
     super::{history::History, role},
@@ -12,8 +12,8 @@
     platform::store::{Keyed, Topic},
 };
 
-/// Passes records on that this instance has read: to all fellows if they are few, else to
-/// aggregators and, as one, to members.
+/// Relays records that this instance has read: to all peers if they are few, otherwise to
+/// aggregators and, if it is an aggregator itself, to members.
 pub fn relay(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
     let names = shared.links().into_iter().map(|link| {
         let state = shared.state.borrow();
@@ -27,15 +27,15 @@
     send(shared, topic, from, records, names);
 }
 
-/// Takes records in that a fellow has read, and passes on what is new here: those of an
-/// aggregator to members, those of a member that had to read itself to all.
+/// Applies records that a peer has read. An aggregator relays those that are new to it: from
+/// another aggregator to members, from a member to all.
 pub fn receive(shared: &Shared, batch: Batch) {
     let Some(topic) = topic::ALL.get(usize::from(batch.topic)).copied() else {
-        log::warn!(topic = batch.topic; "records of an unknown topic");
+        log::warn!(topic = batch.topic; "records of unknown topic");
         return;
     };
     let Some(known) = shared.topic(topic).position.get() else {
-        // Nothing is known yet; the first read brings them.
+        // Nothing is known yet; the first read will include them.
         return;
     };
     let records = batch.records.into_iter().map(|record| Keyed {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Keeps records for members that lack some; only an aggregator needs to.
+/// Retains records for members that lack some; only aggregators do.
 pub fn retain_history(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
     let mut history = shared.history[topic::index(topic)].borrow_mut();
     if role(shared) == Role::Aggregator {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Sends a member the records that it lacks by its report.
+/// Sends a member the records that it lacks according to its report.
 pub fn send_missing(shared: &Shared, report: &Report) {
     let now = clock::now();
     for (topic, (age, position)) in topic::ALL.into_iter().zip(report.watermarks) {
@@ -110,7 +110,7 @@
     names.dedup();
     for address in names.iter().filter_map(|name| shared.peers.address(name)) {
         if let Err(error) = datagrams.send_reliable(address, data.clone()) {
-            log::trace!(address:%, error:%; "records not passed on");
+            log::trace!(address:%, error:%; "cannot relay records");
         }
     }
 }
--- a/crates/proxy/src/gossip/registration.rs
+++ b/crates/proxy/src/gossip/registration.rs
@@ -1,4 +1,4 @@
-//! The entry of this instance in the store, and those of instances that are gone.
+//! The entry of this instance in the store, and removal of dead instances' entries.
 
 use {
     super::role,
@@ -10,13 +10,13 @@
     },
 };
 
-/// Pause before the own entry is written again after a failed call.
+/// Delay before a failed write of this instance's entry is retried.
 const PUBLISH_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How often entries of silent instances are looked for.
+/// How often entries of dead instances are looked for.
 const DEAD_CHECK_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Publishes this instance, and again whenever its entry was dropped.
+/// Publishes this instance, and again whenever its entry has been dropped.
 pub async fn keep_published(shared: &Shared, entry: &Entry) {
     loop {
         publish(shared, entry).await;
@@ -24,9 +24,8 @@
     }
 }
 
-/// Drops entries of instances that have been silent for long. Among few instances the one
-/// that reads the list of instances does so, among many each aggregator for its failure
-/// domain.
+/// Drops entries of dead instances. Among few instances the reader of the list of instances
+/// does so, among many each aggregator for its failure domain.
 pub async fn drop_dead_entries(shared: &Shared) {
     let own = &shared.settings.instance;
     loop {
@@ -47,8 +46,8 @@
         for name in dead {
             let put = shared.store.put(Topic::Instances, &name, b"");
             match put.await {
-                Ok(()) => log::info!(fellow = name; "entry of a silent instance dropped"),
-                Err(error) => log::warn!(fellow = name, error:%; "entry not dropped"),
+                Ok(()) => log::info!(fellow = name; "dead entry dropped"),
+                Err(error) => log::warn!(fellow = name, error:%; "cannot drop dead entry"),
             }
         }
     }
@@ -65,10 +64,10 @@
                 log::info!(address:% = entry.address; "instance published");
                 return;
             }
-            // The record may stand all the same; writing it twice changes nothing.
+            // The write may have succeeded nevertheless; repeating it is harmless.
             Err(error) => {
                 shared.metrics.record_store_call("failed");
-                log::warn!(error:%; "instance not published");
+                log::warn!(error:%; "cannot publish instance");
             }
         }
         sleep(PUBLISH_RETRY_DELAY).await;
--- a/crates/proxy/src/gossip/report.rs
+++ b/crates/proxy/src/gossip/report.rs
@@ -1,4 +1,4 @@
-//! What an instance says of its load and its knowledge.
+//! Reports of load and watermarks to peers.
 
 use {
     super::{connections, role},
@@ -16,39 +16,39 @@
     peer::datagram::DatagramSocket,
 };
 
-/// Shortest pause between two reports. A request is placed on what the others reported
-/// last, so it is a few times shorter than the time between two arrivals at a quiet hour.
+/// Shortest time between two reports. Placement uses the last reports, so this is shorter
+/// than the usual time between two arrivals.
 const MIN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The same for a member, which has a fraction of the load.
+/// Shortest time between two reports of a member, which has a fraction of the load.
 const MEMBER_MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest pause between two reports. What a report says of knowledge is proved by the
-/// number that it echoes, so two pauses add to the age of knowledge.
+/// Longest time between two reports. Watermarks are confirmed by an echoed number, so this
+/// adds twice to the age of data.
 const MAX_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause between two whole sums of an aggregator.
+/// Time between two complete sums of an aggregator.
 const SUM_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Time in which rows that have grown are gathered before they are told.
+/// Time for which grown rows are batched before they are sent.
 const GROWN_ROWS_DELAY: Duration = Duration::from_millis(8);
 
-/// Datagrams of one answer; what does not fit follows with the next one.
+/// Limit of datagrams for one answer; further rows follow with the next one.
 const MAX_ANSWER_DATAGRAMS: usize = 4;
 
-/// Age of an aggregator's rows that is recent enough for a choice.
+/// Age up to which an aggregator's rows are used for placement without a refresh.
 const RECENT_ROWS_AGE: Duration = Duration::from_millis(20);
 
-/// Longest time that a choice waits for newer rows; an answer takes some milliseconds.
+/// Limit for which placement waits for newer rows.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Endpoints in one report, the busiest first, so that it fits into a datagram.
+/// Limit of rows in one report, the busiest endpoints first, so that it fits into a datagram.
 const MAX_REPORT_ROWS: usize = 90;
 
-/// Rows in one part of a sum or one answer, so that it fits into a datagram.
+/// Limit of rows in one datagram of a sum or an answer.
 const MAX_DATAGRAM_ROWS: usize = 64;
 
-/// Tells for ever.
+/// Sends reports and sums; never returns.
 pub async fn run(shared: &Shared, datagrams: &DatagramSocket) {
     let mut whole_at = clock::now();
     loop {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Waits until an aggregator's next sum is due: the whole one at its time, rows at which
-/// work has begun as soon as some are gathered.
+/// Waits until an aggregator's next sum is due: a complete one at `whole_at`, or earlier one
+/// of grown rows after [`GROWN_ROWS_DELAY`].
 async fn sum_due(shared: &Shared, whole_at: Time) {
     let left = whole_at.since(clock::now());
     let now = timeout(left, shared.report_now.notified());
@@ -92,10 +92,10 @@
     }
 }
 
-/// Asks the aggregator for its newest rows, for a choice that is made now.
+/// Requests the aggregator's newest rows before a placement, and waits for them.
 ///
-/// Members choose seldom and together often: with rows that came along with the last report,
-/// those that choose within the same quarter of a second take the same engine.
+/// Without this, members that place requests between two reports would all pick the same
+/// engine.
 pub async fn refresh(shared: &Shared) {
     let now = clock::now();
     if role(shared) != Role::Member
@@ -113,8 +113,8 @@
     let _received = timeout(REFRESH_TIMEOUT, rows_received).await;
 }
 
-/// Waits until a member's next report is due: at once if it cannot wait, else when the load
-/// has changed and some time has passed since the last one.
+/// Waits until a member's next report is due: at once if one is requested, otherwise when the
+/// load has changed and [`MEMBER_MIN_INTERVAL`] has passed.
 async fn report_due(shared: &Shared) {
     let now = timeout(MEMBER_MIN_INTERVAL, shared.report_now.notified());
     if now.await.is_ok() {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Waits until the load has changed, for a bounded time.
+/// Waits until the load has changed, at most for `most`.
 async fn load_changed(shared: &Shared, most: Duration) {
     let _changed = timeout(most, shared.load.notified()).await;
 }
@@ -144,7 +144,7 @@
     loads
 }
 
-/// What this instance says of its knowledge of each topic.
+/// This instance's watermark of each topic.
 fn watermarks(shared: &Shared) -> [RawWatermark; TOPICS] {
     topic::ALL.map(|topic| {
         let watermark = shared.topic(topic).watermark();
@@ -155,7 +155,8 @@
     })
 }
 
-/// Reports the load to those of the links that add it up, or to all if instances are few.
+/// Reports the load to the aggregators of the own failure domain, or to all peers if instances
+/// are few.
 fn report(shared: &Shared, datagrams: &DatagramSocket, links: &[Link], loads: &load::Report) {
     let now = clock::now();
     let role = role(shared);
@@ -193,8 +194,8 @@
     }
 }
 
-/// Tells the aggregators of other failure domains the sum of this one, or the rows of it that
-/// have grown.
+/// Sends this failure domain's load to the aggregators of others: all rows, or those that have
+/// grown.
 fn sum(
     shared: &Shared,
     datagrams: &DatagramSocket,
@@ -241,11 +242,11 @@
     }
 }
 
-/// A part of a sum: the digests that it covers, if it is not only of changed rows, and the
-/// rows.
+/// Rows of one datagram of a sum, with the range of digests that it covers; without a range
+/// it holds changed rows only.
 type SumRows = (Option<(u32, u32)>, Vec<Row>);
 
-/// The rows at which work has begun, this instance's own among them.
+/// The rows that have grown, and those of this instance, split into datagrams.
 fn grown_rows(loads: &load::Report, mut grown: Vec<u32>, own: &load::Report) -> Vec<SumRows> {
     grown.extend(own.iter().map(|(digest, _)| *digest));
     grown.sort_unstable();
@@ -261,7 +262,7 @@
         .collect()
 }
 
-/// Cuts sorted rows into parts that fit into datagrams, each with the digests it covers.
+/// Splits sorted rows into datagrams, each with the range of digests that it covers.
 fn parts(loads: &load::Report) -> Vec<SumRows> {
     let mut parts = Vec::new();
     let mut from = 0;
@@ -328,6 +329,6 @@
         return;
     };
     if let Err(error) = datagrams.send(address, data) {
-        log::trace!(address:%, error:%; "message not sent");
+        log::trace!(address:%, error:%; "cannot send message");
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Forwards callers' requests to endpoints.
 //!
-//! One loop on one thread. Each request is a task that asks [`forward::State`] what may
-//! be done at the present time and carries it out; nothing is decided here.
+//! One event loop on one thread. Each request is a task that performs the I/O which
+//! [`forward::State`] decides on.
 
 pub mod apply;
 pub mod buffered;
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners for callers, for the question of readiness, and for metrics.
+//! Listeners for callers, readiness checks and metrics.
 
 use {
     crate::{buffered, clock, exchange::Original, follow, prelude::*, reply, stream},
@@ -11,21 +11,21 @@
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Longest pause after a connection could not be accepted, for want of descriptors.
+/// Delay after a failed accept, such as one for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What answers on a listener.
+/// Purpose of a listener.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
     /// Requests of callers.
     Callers,
     /// Metrics, on any path.
     Metrics,
-    /// Whether callers may be sent here, on any path.
+    /// Readiness checks, on any path.
     Ready,
 }
 
-/// A request in progress, counted until it is dropped.
+/// Counts a request as in progress until dropped.
 #[derive(Debug)]
 pub struct RequestGuard(Rc<Shared>);
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Accepts connections for ever.
+/// Accepts connections; never returns.
 pub async fn accept(shared: Rc<Shared>, listener: TcpListener, role: Role) {
     loop {
         match listener.accept().await {
@@ -50,7 +50,7 @@
                 tokio::task::spawn_local(connection(Rc::clone(&shared), stream, role));
             }
             Err(error) => {
-                log::warn!(error:%; "connection not accepted");
+                log::warn!(error:%; "cannot accept connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -59,7 +59,7 @@
 
 async fn connection(shared: Rc<Shared>, stream: TcpStream, role: Role) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:%; "connection without nodelay");
+        log::debug!(error:%; "cannot set TCP_NODELAY");
     }
     let limits = {
         let state = shared.state.borrow();
@@ -73,8 +73,8 @@
         service_fn(move |request| handle(Rc::clone(&shared), request, role))
     };
     let mut builder = http1::Builder::new();
-    // The library counts the time of a head from the end of the request before, so the
-    // bound for idle connections is the one to give.
+    // hyper counts the header timeout from the end of the previous request, so it has to be
+    // the idle timeout.
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
@@ -110,7 +110,7 @@
     })
 }
 
-/// Whether callers may be sent here.
+/// Whether the instance is ready for callers.
 fn ready(shared: &Shared) -> bool {
     let now = clock::now();
     let state = shared.state.borrow();
@@ -121,8 +121,8 @@
     let arrived = clock::now();
     let guard = RequestGuard::new(shared);
     let (parts, body) = request.into_parts();
-    // What follows a body in chunks on its connection may have been meant as part of it,
-    // if the sender also gave a length; the library keeps only one of the two.
+    // Against request smuggling: a chunked request may also have carried a content length,
+    // of which hyper drops one, so nothing after it on the connection can be trusted.
     let chunked = parts.headers.contains_key(http::header::TRANSFER_ENCODING);
     let (mut reply, id) = match head::inbound(&parts, arrived) {
         Ok(inbound) => {
@@ -130,7 +130,7 @@
             (serve(shared, parts, inbound, body, guard).await, id)
         }
         Err(header) => {
-            log::info!(header; "request without a proper header");
+            log::info!(header; "invalid or missing request header");
             (reply::refusal(Refusal::Bad, ""), String::new())
         }
     };
@@ -142,7 +142,7 @@
     reply
 }
 
-/// What the log says of a request's route, once it is known.
+/// Route data for the log line of a request, once it is known.
 #[derive(Debug, Default)]
 struct RouteInfo {
     name: String,
@@ -207,8 +207,8 @@
     buffered::serve(shared, &original, ticket).await
 }
 
-/// Admits a request; if only the age of what is known stands against it, after a read that
-/// settles the matter.
+/// Admits a request. If it is refused only because the configuration is stale or missing,
+/// reads the configuration and tries once more.
 async fn admit(shared: &Shared, inbound: &Inbound) -> Result<Ticket, Refusal> {
     let first = shared.state.borrow_mut().admit(clock::now(), inbound);
     match first {
@@ -219,7 +219,7 @@
     shared.state.borrow_mut().admit(clock::now(), inbound)
 }
 
-/// Reads a body in whole, so that nothing of it can be taken for another request.
+/// Reads the whole body.
 async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
     let most = {
         let state = shared.state.borrow();
@@ -233,7 +233,7 @@
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Err(error) => {
-            log::info!(error:%; "body cannot be read");
+            log::info!(error:%; "cannot read request body");
             Err(Refusal::Bad)
         }
     }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,7 +1,7 @@
-//! Log lines: JSON on standard output, bounded, never waited for.
+//! Non-blocking JSON log lines on standard output.
 //!
-//! A thread writes what a bounded channel holds. When standard output is not read, the
-//! channel fills and lines are dropped and counted; a caller's answer never waits.
+//! A thread writes lines from a bounded channel. If standard output is not read, the channel
+//! fills up, and lines are dropped and counted, so that requests never wait for the log.
 
 use {
     log::kv::{Key, Value, VisitSource},
@@ -17,13 +17,13 @@
     },
 };
 
-/// Lines that wait to be written; at some 300 bytes a line about a megabyte.
+/// Limit of lines that wait to be written, about a megabyte.
 const MAX_QUEUED_LINES: usize = 4096;
 
-/// Lines that were dropped since the start.
+/// Number of lines dropped since the start.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were dropped since the start.
+/// Number of lines dropped since the start.
 #[must_use]
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
@@ -60,7 +60,7 @@
     since.unwrap_or_default().as_millis()
 }
 
-/// Writes until the senders are gone, flushing whenever nothing more waits.
+/// Writes lines until the channel closes, and flushes when it is empty.
 fn write(lines: &Receiver<Vec<u8>>) {
     let mut output = io::stdout();
     while let Ok(line) = lines.recv() {
@@ -73,13 +73,13 @@
             .and_then(|()| output.flush())
             .is_err()
         {
-            // Nobody reads the log any more; there is no other place to say so.
+            // Standard output is closed, and there is nowhere else to log it.
             DROPPED.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// One line's fields.
+/// Fields of one line.
 struct Line(Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Line {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Hands lines to the writing thread.
+/// Sends lines to the writing thread.
 struct ChannelWriter {
     sender: SyncSender<Vec<u8>>,
 }
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other, and its encoding.
+//! Messages between instances and their encoding.
 
 use {
     crate::prelude::*,
@@ -6,59 +6,59 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Effort of packing records, 0 to 10. The least that finds repetitions makes a fifth of a
-/// configuration; more effort takes longer than it saves on the link.
+/// Compression level for records, 0 to 10. Higher levels cost more time than they save on the
+/// network.
 const DEFLATE_LEVEL: u8 = 1;
 
-/// Most bytes of a batch of records once unpacked; a read brings a megabyte at most.
+/// Size limit of a decompressed batch; a read returns a megabyte at most.
 const MAX_BATCH_BYTES: usize = 4 << 20;
 
-/// What instances say to each other.
+/// A message between instances.
 #[derive(Debug, Deserialize, Serialize)]
 pub enum Message {
     /// An aggregator's answer to a report of a member of its failure domain.
     Answer(Answer),
-    /// A [`Batch`], packed. A configuration of twenty kilobytes to 28 fellows held a link
-    /// of 10 Mbit/s for half a second, in which events of streams came late to callers.
+    /// A compressed [`Batch`]. Uncompressed, relaying a configuration to many peers can fill a
+    /// slow link and delay events of streams.
     Records(Vec<u8>),
-    /// What an instance has in progress and knows.
+    /// Load and watermarks of an instance.
     Report(Report),
-    /// What an aggregator tells those of other failure domains.
+    /// Load of a failure domain, from its aggregator to those of other domains.
     Sum(Sum),
 }
 
-/// Digest of the endpoint's id, then tokens, tokens of copies among them, tokens being
-/// read, requests.
+/// Digest of the endpoint's id, then tokens, tokens of backup copies among them, tokens in
+/// prefill, and requests.
 pub type Row = (u32, u32, u32, u32, u32);
 
-/// Age in milliseconds, if anything is known, and position.
+/// Age in milliseconds (`None` if nothing is known) and position.
 pub type RawWatermark = (Option<u32>, u64);
 
-/// What an instance has in progress and knows.
+/// Load and watermarks of an instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Report {
-    /// Life and number last heard from the instance that this is sent to. What is said here
-    /// was true after that number was given out, however long this message is on its way.
+    /// Incarnation and number last received from the recipient. The watermarks were taken
+    /// after that number was issued, however long this message is in transit.
     pub echo: (u64, u64),
-    /// Drawn at the start of the sender's process.
+    /// Random number drawn when the sender's process started.
     pub incarnation: u64,
-    /// What it has in progress at endpoints.
+    /// Load that it has at endpoints.
     pub loads: Vec<Row>,
-    /// Its name.
+    /// Name of the sender.
     pub name: String,
-    /// Time of the sender's clock in microseconds; orders its reports.
+    /// Sender's clock in microseconds; orders its reports.
     pub number: u64,
-    /// Life of the aggregator and version of its sums that the sender holds, if it wants the
-    /// rows that have changed since.
+    /// Incarnation of the aggregator and version of its sums that the sender holds, if it
+    /// requests the rows that have changed since.
     pub held_version: Option<(u64, u64)>,
-    /// What it knows of each topic.
+    /// Watermark of each topic.
     pub watermarks: [RawWatermark; TOPICS],
 }
 
-/// The load that instances of a failure domain have at endpoints, or a part of it.
+/// The load that instances of a failure domain have at endpoints, or some rows of it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Sum {
-    /// First and last digest that it covers; none if it holds changed rows only.
+    /// First and last digest that it covers; `None` if it holds changed rows only.
     pub covers: Option<(u32, u32)>,
     /// As in a [`Report`].
     pub echo: (u64, u64),
@@ -66,7 +66,7 @@
     pub incarnation: u64,
     /// Load of the domain, the sender's own included.
     pub loads: Vec<Row>,
-    /// Instances that it is made of.
+    /// Number of instances in the sum.
     pub members: u32,
     /// As in a [`Report`].
     pub name: String,
@@ -79,13 +79,13 @@
 /// An aggregator's answer to a report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Answer {
-    /// Rows of the load of all instances that have changed, if they were asked for.
+    /// Changed rows of the load of all instances, if they were requested.
     pub changes: Option<RawChanges>,
-    /// Life and number of the report.
+    /// Incarnation and number of the report.
     pub echo: (u64, u64),
     /// As in a [`Report`].
     pub incarnation: u64,
-    /// Instances that report to the aggregator, itself included.
+    /// Number of instances that report to the aggregator, itself included.
     pub members: u32,
     /// As in a [`Report`].
     pub name: String,
@@ -95,14 +95,14 @@
     pub watermarks: [RawWatermark; TOPICS],
 }
 
-/// Rows of an aggregator's table that have changed.
+/// Changed rows of an aggregator's table.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RawChanges {
-    /// Whether what was held before is to be forgotten.
+    /// Whether the rows held before are to be dropped.
     pub reset: bool,
     /// The rows.
     pub loads: Vec<Row>,
-    /// Version with these rows.
+    /// Version of the table after these changes.
     pub version: u64,
 }
 
@@ -113,24 +113,24 @@
     pub from: u64,
     /// The records.
     pub records: Vec<RawRecord>,
-    /// Name of the instance that passes them on.
+    /// Name of the instance that relays them.
     pub sender: String,
-    /// Place in [`crate::topic::ALL`].
+    /// Index in [`crate::topic::ALL`].
     pub topic: u8,
 }
 
-/// A record as it stands in the store.
+/// A record of the store.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct RawRecord {
     /// Key.
     pub key: String,
-    /// Place in the topic.
+    /// Offset in the topic.
     pub offset: u64,
-    /// Value; none if the key was dropped.
+    /// Value; `None` if the key was removed.
     pub value: Option<Vec<u8>>,
 }
 
-/// A row as it goes over the wire.
+/// Converts a row to its encoding.
 #[must_use]
 pub const fn row((digest, load): (u32, Load)) -> Row {
     (
@@ -142,7 +142,7 @@
     )
 }
 
-/// A row as decisions know it.
+/// Converts a row from its encoding.
 #[must_use]
 pub const fn load((digest, tokens, copies, reading, requests): Row) -> (u32, Load) {
     let load = Load {
@@ -155,7 +155,7 @@
 }
 
 impl Message {
-    /// Encodes it; `None`, with a line in the log, if that cannot be done.
+    /// Encodes the message; logs an error and returns `None` if that fails.
     #[must_use]
     pub fn encode(&self) -> Option<Bytes> {
         encode(self).map(Bytes::from)
@@ -163,19 +163,19 @@
 }
 
 impl Batch {
-    /// Packs it for the way to fellows.
+    /// Encodes and compresses the batch; logs an error and returns `None` if that fails.
     #[must_use]
     pub fn compress(&self) -> Option<Message> {
         let data = encode(self)?;
-        let packed = miniz_oxide::deflate::compress_to_vec(&data, DEFLATE_LEVEL);
-        Some(Message::Records(packed))
+        let compressed = miniz_oxide::deflate::compress_to_vec(&data, DEFLATE_LEVEL);
+        Some(Message::Records(compressed))
     }
 
-    /// Reads what a fellow packed.
+    /// Decompresses and decodes a batch.
     ///
     /// # Errors
     ///
-    /// The data is no batch, or too large once unpacked.
+    /// The data is not a batch, or exceeds 4 MiB once decompressed.
     pub fn decompress(data: &[u8]) -> Result<Self, String> {
         let data = miniz_oxide::inflate::decompress_to_vec_with_limit(data, MAX_BATCH_BYTES);
         let data = data.map_err(|error| error.to_string())?;
@@ -185,6 +185,6 @@
 
 fn encode(value: &impl Serialize) -> Option<Vec<u8>> {
     postcard::to_stdvec(value)
-        .inspect_err(|error| log::error!(error:%; "message to fellow instances cannot be encoded"))
+        .inspect_err(|error| log::error!(error:%; "cannot encode message to peer instances"))
         .ok()
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, in Prometheus text.
+//! Counters and latency histograms in the Prometheus text format.
 
 use {
     crate::{logging, prelude::*},
@@ -10,12 +10,12 @@
     prometheus::{Encoder as _, Registry, TextEncoder},
 };
 
-/// Bounds of latency histograms, in seconds; the targets lie between 0.1 and 2.
+/// Buckets of latency histograms, around the targets of 0.1 to 2 seconds.
 const LATENCY_BUCKETS_SECONDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8,
 ];
 
-/// Everything that is exported.
+/// All exported metrics.
 #[derive(Debug)]
 pub struct Metrics {
     endings: Counter<u64>,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// A request has ended.
+    /// Records the end of a request.
     pub fn record_end(&self, route: &str, outcome: &str, took: Duration) {
         let labels = [
             KeyValue::new("route", route.to_string()),
@@ -83,39 +83,39 @@
         self.total.record(took.as_secs_f64(), &[]);
     }
 
-    /// The first event of a stream went out.
+    /// Records the time to the first event of a stream.
     pub fn record_first_event(&self, took: Duration) {
         self.first_event.record(took.as_secs_f64(), &[]);
     }
 
-    /// The loop's timer came this late.
+    /// Records how late the event loop's timer was.
     pub fn record_loop_lateness(&self, late: Duration) {
         self.loop_late.record(late.as_secs_f64(), &[]);
     }
 
-    /// A generation went on elsewhere, or did not.
+    /// Records the outcome of a takeover.
     pub fn record_move(&self, outcome: &'static str) {
         self.moves.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A request was sent to an endpoint.
+    /// Records a send to an endpoint.
     pub fn record_send(&self, is_retry: bool) {
         let order = if is_retry { "second" } else { "first" };
         self.sends.add(1, &[KeyValue::new("order", order)]);
     }
 
-    /// The store was called.
+    /// Records a call to the store.
     pub fn record_store_call(&self, outcome: &'static str) {
         self.store_calls
             .add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Prometheus text.
+    /// All metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!(error:%; "metrics cannot be written");
+            log::warn!(error:%; "cannot encode metrics");
         }
         String::from_utf8_lossy(&text).into_owned()
     }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other instances, as they published themselves.
+//! The other instances, as listed in the store.
 
 use {
     crate::{clock, prelude::*, settings::Instance},
@@ -7,45 +7,44 @@
     platform::instance::Entry,
 };
 
-/// Time after which a member that has not asked for rows takes records from another
-/// aggregator.
+/// Time after its last request for rows for which a member counts as a subscriber.
 const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A fellow, as it published itself.
+/// A peer, as it published itself.
 #[derive(Clone, Debug, PartialEq)]
 struct Peer {
     entry: Entry,
-    /// When its entry was read.
+    /// When its entry was last read.
     listed_at: Time,
     name: String,
 }
 
-/// Another instance, as seen from the own one.
+/// Address of a peer, and what to echo to it.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerAddress {
-    /// Where it listens for fellows.
+    /// Address for messages from peers.
     pub address: SocketAddr,
-    /// Life and number to be echoed to it.
+    /// Incarnation and number to echo to it.
     pub echo: (u64, u64),
 }
 
-/// Fellows that are known.
+/// All listed instances, this one included.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// Connections to them, once there is a socket.
+    /// Socket with connections to them, once it is set up.
     pub datagrams: RefCell<Option<DatagramSocket>>,
-    /// Life and number of the last report of each fellow, sorted by name.
+    /// Incarnation and number of the last report of each peer, sorted by name.
     echoes: RefCell<Vec<(String, (u64, u64))>>,
     /// Sorted by name.
     known: RefCell<Vec<Peer>>,
-    /// Members that take records from this instance and when they last said so, sorted by
-    /// name.
+    /// Members that receive records from this instance and when they last requested rows,
+    /// sorted by name.
     subscribers: RefCell<Vec<(String, Time)>>,
 }
 
 impl Peers {
-    /// Takes a record of an instance in. Returns the address of one that has started anew
-    /// there, to which an open connection leads nowhere.
+    /// Adds, updates or removes an instance. Returns its address if it has restarted there, so
+    /// that an open connection to it is stale.
     pub fn update(&self, name: &str, entry: Option<Entry>) -> Option<SocketAddr> {
         let mut peers = self.known.borrow_mut();
         let index = peers.binary_search_by(|peer| peer.name.as_str().cmp(name));
@@ -76,14 +75,14 @@
         }
     }
 
-    /// Names of all that are published, sorted.
+    /// Names of all listed instances, sorted.
     #[must_use]
     pub fn names(&self) -> Vec<String> {
         let peers = self.known.borrow();
         peers.iter().map(|peer| peer.name.clone()).collect()
     }
 
-    /// Where a fellow listens.
+    /// Address of a peer.
     #[must_use]
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let peers = self.known.borrow();
@@ -91,7 +90,7 @@
         index.ok().map(|index| peers[index].entry.address)
     }
 
-    /// Where all fellows listen, sorted.
+    /// Addresses of all instances but `own`, sorted.
     #[must_use]
     pub fn addresses(&self, own: &str) -> Vec<SocketAddr> {
         let peers = self.known.borrow();
@@ -101,14 +100,14 @@
         addresses
     }
 
-    /// Fingerprints of all that are published.
+    /// Fingerprints of all listed instances.
     #[must_use]
     pub fn fingerprints(&self) -> Vec<Fingerprint> {
         let peers = self.known.borrow();
         peers.iter().map(|peer| peer.entry.fingerprint).collect()
     }
 
-    /// The other instances, as seen from the own one.
+    /// All instances but `own`.
     #[must_use]
     pub fn others(&self, own: &Instance) -> Vec<PeerAddress> {
         let peers = self.known.borrow();
@@ -121,8 +120,8 @@
             .collect()
     }
 
-    /// Fellows whose entries are to be dropped; where instances are `many` only those of the
-    /// own failure domain, since the others are not heard.
+    /// Peers whose entries are to be dropped; where instances are `many`, only those of the own
+    /// failure domain, since the others do not report here.
     #[must_use]
     pub fn expired(&self, readers: &Readers, own: &Instance, many: bool, now: Time) -> Vec<String> {
         let peers = self.known.borrow();
@@ -134,7 +133,7 @@
         expired.map(|peer| peer.name.clone()).collect()
     }
 
-    /// A member takes records from this instance.
+    /// Records that a member receives records from this instance.
     pub fn note_subscriber(&self, name: &str, now: Time) {
         let mut subscribers = self.subscribers.borrow_mut();
         match subscribers.binary_search_by(|(other, _)| other.as_str().cmp(name)) {
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Members that take records from this instance.
+    /// Members that receive records from this instance.
     #[must_use]
     pub fn subscribers(&self, now: Time) -> Vec<String> {
         let mut subscribers = self.subscribers.borrow_mut();
@@ -151,7 +150,7 @@
         subscribers.iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// Life and number to be echoed to a fellow.
+    /// Incarnation and number to echo to a peer; zeros if it has not reported.
     #[must_use]
     pub fn echo(&self, name: &str) -> (u64, u64) {
         let echoes = self.echoes.borrow();
@@ -159,8 +158,8 @@
         index.map_or((0, 0), |index| echoes[index].1)
     }
 
-    /// Notes life and number of a fellow's last report, to be echoed to it. Returns whether
-    /// it has started anew.
+    /// Records incarnation and number of a peer's last report, to be echoed to it. Returns
+    /// whether it has restarted.
     pub fn record_report(&self, name: &str, incarnation: u64, number: u64) -> bool {
         let mut echoes = self.echoes.borrow_mut();
         match echoes.binary_search_by(|(other, _)| other.as_str().cmp(name)) {
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking engines whether they leave, while the store does not say so.
+//! Probes that ask engines whether they are leaving, while the endpoint list may be stale.
 
 use {
     crate::{clock, prelude::*},
@@ -6,16 +6,16 @@
     tokio::task::spawn_local,
 };
 
-/// How often it is looked which engines are to be asked.
+/// How often due probes are looked for.
 const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer is waited for; it needs no place at the engine.
+/// Limit for a response, which does not depend on room at the engine.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Answers list an engine's runs, some 60 bytes each.
+/// Size limit of a response, which lists the engine's runs.
 const MAX_ANSWER_BYTES: usize = 1 << 18;
 
-/// Asks for ever.
+/// Sends probes; never returns.
 pub async fn run(shared: Rc<Shared>) {
     loop {
         sleep(PROBE_POLL_INTERVAL).await;
@@ -33,19 +33,19 @@
     let asked = timeout(ANSWER_TIMEOUT, answer(&shared, address));
     let answered = asked
         .await
-        .unwrap_or_else(|_| Err("no answer in time".to_string()));
+        .unwrap_or_else(|_| Err("no response within the time limit".to_string()));
     let age = shared.state.borrow().list_freshness.age(clock::now());
     let list_age_ms = age.unwrap_or(Duration::MAX).as_millis();
     match answered {
         Ok(false) => {}
         Ok(true) => {
-            log::info!(endpoint, list_age_ms; "engine says that it leaves");
+            log::info!(endpoint, list_age_ms; "probe: engine is leaving");
             if let Some(endpoint) = shared.state.borrow_mut().endpoint_mut(key) {
                 endpoint.leaves(clock::now());
             }
         }
         Err(why) => {
-            log::info!(endpoint, list_age_ms, why; "engine did not say whether it leaves");
+            log::info!(endpoint, list_age_ms, why; "probe failed");
             shared.state.borrow_mut().unanswered(clock::now(), key);
         }
     }
--- a/crates/proxy/src/reply.rs
+++ b/crates/proxy/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use {
     crate::prelude::*,
@@ -12,16 +12,16 @@
     tokio::sync::mpsc,
 };
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<Body>;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// Known whole.
+    /// A complete body.
     Full(Full<Bytes>),
-    /// Parts as they come. It is complete only if its sender said so; a sender that
-    /// vanishes breaks the connection, so that what was cut off does not look whole.
+    /// A streamed body. It is complete only after [`Part::End`]; if the sender is dropped
+    /// before, the connection is aborted, so that a truncated body does not look complete.
     Parts(mpsc::Receiver<Part>),
 }
 
@@ -34,7 +34,7 @@
     End,
 }
 
-/// The body ended before it was complete.
+/// The sender of a streamed body was dropped before the end.
 #[derive(Debug)]
 pub struct Incomplete;
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// An answer with a body that is known whole.
+/// A response with a complete body.
 #[must_use]
 pub fn whole(status: StatusCode, headers: http::HeaderMap, body: Bytes) -> Reply {
     let mut reply = Response::new(Body::Full(Full::new(body)));
@@ -83,13 +83,13 @@
     reply
 }
 
-/// An answer without a body or headers.
+/// A response without body or headers.
 #[must_use]
 pub fn empty(status: StatusCode) -> Reply {
     whole(status, http::HeaderMap::new(), Bytes::new())
 }
 
-/// The answer that stands for a refusal.
+/// The local reply for a refusal.
 #[must_use]
 pub fn refusal(refusal: Refusal, id: &str) -> Reply {
     let mut reply = empty(status(refusal));
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! The life of an instance.
+//! Startup, settings reload and graceful shutdown of an instance.
 
 use {
     crate::{
@@ -17,28 +17,27 @@
     },
 };
 
-/// Time from a request to stop until idle connections are closed. The balancer asks once
-/// a second and needs two refusals, so new callers have stopped coming by then.
+/// Time from a termination signal until idle connections are closed. The load balancer
+/// removes an instance after two failed readiness checks, one second apart.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2600);
 
-/// Time before the kill at which the process ends by itself.
+/// Time before the end of the grace period at which the process exits by itself.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// How often the settings file is looked at, since it may change without a signal. It is
-/// some 500 bytes in memory.
+/// How often the settings file is checked, since it may change without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How often it is looked whether everything has ended.
+/// How often a stopping instance checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after closing idle connections in which their last requests come to an end.
+/// Delay after closing idle connections, for requests that were just arriving on them.
 const LAST_REQUESTS_DELAY: Duration = Duration::from_millis(300);
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// An address cannot be listened at, or signals cannot be received.
+/// The instance cannot listen on an address, receive signals or set up metrics.
 pub async fn run(file: &str, settings: Settings) -> Result<(), Error> {
     LocalSet::new().run_until(serve(file, settings)).await
 }
@@ -87,8 +86,8 @@
     Ok(())
 }
 
-/// Takes a changed settings file in; what is bound stays bound. A file with a fault changes
-/// nothing: it may be half written, and is looked at again.
+/// Applies a changed settings file, except for addresses that are already bound. An invalid
+/// file changes nothing: it may be half written, and is read again later.
 fn reload(shared: &Shared, file: &str, known: Settings) -> Settings {
     match Settings::load(file) {
         Ok(settings) if settings == known => known,
@@ -104,7 +103,7 @@
     }
 }
 
-/// Ends once nothing is in progress, or just before the kill.
+/// Shuts down once no request is in progress, or shortly before the grace period ends.
 async fn drain(shared: &Shared) {
     let started_at = clock::now();
     let grace = Duration::from_secs_f64(shared.settings.instance.grace_s);
@@ -119,13 +118,13 @@
         shared.stop.notify_waiters();
         sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // What comes from now on would be cut off with the process.
+    // Requests that arrive from now on would be cut off by the exit.
     shared.state.borrow_mut().stop(clock::now());
     log::info!(
         in_progress = shared.in_progress.get(), dropped_lines = logging::dropped(),
         ms = clock::now().since(started_at).as_millis(); "stopped"
     );
-    // The thread that writes the log takes a moment for the last line.
+    // Give the logging thread time to write the last line.
     sleep(DRAIN_POLL_INTERVAL).await;
 }
 
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,13 +1,13 @@
-//! Settings of an instance that forwards.
+//! Settings of a proxy instance.
 
 use {crate::prelude::*, serde::Deserialize};
 
-/// The whole file. Keys that are not known are passed over, since a platform may add some.
+/// The settings file. Unknown keys are ignored, since a platform may add some.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Settings {
     /// The instance itself.
     pub instance: Instance,
-    /// Bounds that hold over all instances.
+    /// Limits that hold over all instances together.
     pub joint: Joint,
     /// The store.
     pub store: Store,
@@ -18,9 +18,9 @@
 pub struct Instance {
     /// Failure domain.
     pub domain: String,
-    /// Address and port for messages between instances.
+    /// Address and port for messages from peers.
     pub fellows: SocketAddr,
-    /// Seconds from a request to stop until the process is killed.
+    /// Grace period in seconds from SIGTERM until the process is killed.
     pub grace_s: f64,
     /// Address and port for callers.
     pub listen: SocketAddr,
@@ -28,25 +28,25 @@
     pub metrics: SocketAddr,
     /// Name.
     pub name: String,
-    /// Share of a core that it has; where instances are many, the strongest add up load.
+    /// Share of a CPU core; where instances are many, those with most become aggregators.
     #[serde(default = "whole_core")]
     pub processor: f64,
-    /// Address and port of the question whether callers may be sent here.
+    /// Address and port of readiness checks.
     pub ready: SocketAddr,
 }
 
-/// Bounds that hold over all instances.
+/// Limits that hold over all instances together.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Joint {
-    /// Seconds of the window of second sends.
+    /// Window of the retry budget in seconds.
     pub retry_window_s: f64,
-    /// Second sends within the window beyond the ratio.
+    /// Retries within the window beyond the ratio.
     pub retry_burst: f64,
-    /// Second sends for each first one.
+    /// Retries for each first send.
     pub retry_ratio: f64,
-    /// Milliseconds after which a key that was taken away must not be used any more.
+    /// Milliseconds after which a revoked key must no longer be accepted.
     pub revocation_ms: f64,
-    /// Most instances that may exist at once.
+    /// Limit of instances that may exist at once.
     #[serde(default = "most_instances")]
     pub most_instances: u32,
 }
@@ -62,8 +62,7 @@
     1.0
 }
 
-/// Instances to divide joint limits by where the settings do not say: seven with three
-/// to spare.
+/// Default number of instances among which joint limits are divided.
 const fn most_instances() -> u32 {
     10
 }
@@ -87,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or has a fault; the error names file, key and reason.
+    /// The file cannot be read or is invalid; the error names file, key and reason.
     pub fn load(file: &str) -> Result<Self, Error> {
         let text =
             std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_string(), error))?;
@@ -98,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// It has a fault; the error names file, key and reason.
+    /// The settings are invalid; the error names file, key and reason.
     pub fn parse(file: &str, text: &str) -> Result<Self, Error> {
         let fault = |text: String| Error::Settings(file.to_string(), text);
         let settings = toml::from_str::<Self>(text).map_err(|error| fault(error.to_string()))?;
@@ -124,7 +123,7 @@
         Ok(settings)
     }
 
-    /// The figures that decisions need.
+    /// The settings that decisions are based on.
     #[must_use]
     pub fn decisions(&self) -> forward::settings::Settings {
         forward::settings::Settings {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share; they run on one thread.
+//! State shared by all tasks of an instance, which run on one thread.
 
 use {
     crate::{
@@ -29,16 +29,15 @@
     tokio::sync::Notify,
 };
 
-/// How long a connection may take to open. The way to an endpoint takes milliseconds; one
-/// without power does not answer at all.
+/// Limit for opening a connection to an endpoint or the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What all tasks of an instance share.
+/// State shared by all tasks of an instance.
 #[derive(Debug)]
 pub struct Shared {
     /// Connections to endpoints and the store.
     pub client: Client,
-    /// Whether the instance was told to stop.
+    /// Whether the instance is shutting down.
     pub draining: Cell<bool>,
     /// Other instances.
     pub peers: Peers,
@@ -47,41 +46,41 @@
     /// Endpoints at which the load of the own failure domain has grown since the last sum,
     /// by digest.
     pub grown: RefCell<Vec<u32>>,
-    /// Records for members that lack some, for each topic.
+    /// Recent records of each topic, for members that lack some.
     pub history: [RefCell<History>; TOPICS],
-    /// Sets this life of the instance apart from earlier ones; never zero.
+    /// Random number that identifies this run of the process; never zero.
     pub incarnation: u64,
-    /// Signalled when the load of this instance has changed.
+    /// Notified when the load of this instance has changed.
     pub load: Notify,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// What fellows say of their knowledge.
+    /// Watermarks of peers.
     pub readers: RefCell<Readers>,
-    /// Signalled when this instance has to publish itself again.
+    /// Notified when this instance has to publish its entry again.
     pub republish: Notify,
-    /// Signalled when an endpoint may have room again.
+    /// Notified when an endpoint may have room again.
     pub room: Notify,
-    /// Signalled when a report cannot wait: a generation has begun, or a choice needs an
+    /// Notified when a report is due at once: a run has started, or a placement needs an
     /// aggregator's newest rows.
     pub report_now: Notify,
-    /// Part in the exchange of load, as of the last look.
+    /// Role in the gossip as of the last check.
     role: Cell<Role>,
     /// Settings at the start.
     pub settings: Settings,
-    /// What the instance knows.
+    /// State that decisions are based on.
     pub state: RefCell<State>,
-    /// Signalled when idle connections are to be closed.
+    /// Notified when idle connections are to be closed.
     pub stop: Notify,
     /// Client of the store.
     pub store: Store,
-    /// Signalled when an aggregator has answered.
+    /// Notified when an aggregator has sent rows.
     pub rows_received: Notify,
-    /// How far each topic of the store is known.
+    /// Read progress of each topic.
     topics: [TopicState; TOPICS],
 }
 
 impl Shared {
-    /// Sets everything up.
+    /// Creates the shared state.
     ///
     /// # Errors
     ///
@@ -113,7 +112,7 @@
         }))
     }
 
-    /// How far a topic is known.
+    /// Read progress of a topic.
     #[must_use]
     pub const fn topic(&self, topic: Topic) -> &TopicState {
         &self.topics[topic::index(topic)]
@@ -127,7 +126,7 @@
         Some((listing.address, listing.id.clone()))
     }
 
-    /// Notes that an endpoint could not be reached.
+    /// Marks an endpoint as unreachable.
     pub fn mark_unreachable(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.unreachable(clock::now());
@@ -135,7 +134,7 @@
     }
 }
 
-/// A place in the queue, left when it is dropped.
+/// A request's position in the queue, released on drop.
 #[derive(Debug)]
 pub struct QueueSlot {
     position: Place,
@@ -143,7 +142,7 @@
 }
 
 impl QueueSlot {
-    /// Takes a place.
+    /// Enters the queue.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, ticket: &forward::request::Ticket) -> Self {
         let position = shared.state.borrow_mut().enqueue(ticket);
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Whether another request comes first.
+    /// Whether another request goes first.
     #[must_use]
     pub fn is_preceded(&self) -> bool {
         self.shared.state.borrow().passed_over(&self.position)
@@ -167,7 +166,7 @@
     }
 }
 
-/// A plain request at an endpoint, counted until it is dropped.
+/// Counts a buffered request at an endpoint until dropped.
 #[derive(Debug)]
 pub struct InFlight {
     key: EndpointKey,
@@ -175,7 +174,7 @@
 }
 
 impl InFlight {
-    /// Counts a request.
+    /// Starts to count a request.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, key: EndpointKey) -> Self {
         if let Some(endpoint) = shared.state.borrow_mut().endpoint_mut(key) {
@@ -197,16 +196,16 @@
     }
 }
 
-/// A generation in progress, forgotten when it is dropped.
+/// A run in progress, removed on drop.
 #[derive(Debug)]
 pub struct RunGuard {
-    /// Key of the generation.
+    /// Key of the run.
     pub key: RunKey,
     shared: Rc<Shared>,
 }
 
 impl RunGuard {
-    /// Notes a generation.
+    /// Registers a run.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, run: forward::prelude::Run) -> Self {
         let key = shared.state.borrow_mut().begin(run);
@@ -228,14 +227,14 @@
 }
 
 impl Shared {
-    /// An endpoint answered, well or with a failure of its own.
+    /// Records an endpoint's response; `failed` if it was an error of the endpoint.
     pub fn record_answer(&self, key: EndpointKey, failed: bool) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.answered(failed);
         }
     }
 
-    /// Counts a send to a service, for the budget and the metrics.
+    /// Counts a send to a service, for the retry budget and the metrics.
     pub fn record_attempt(&self, service: &str, is_retry: bool) {
         let now = clock::now();
         if is_retry {
@@ -244,12 +243,12 @@
         self.metrics.record_send(is_retry);
     }
 
-    /// Admits a request again right before its send, by what is known then. Returns whether
-    /// the service is still the one that an endpoint was chosen for.
+    /// Admits a request again right before its send, with the current configuration. Returns
+    /// whether the service is still the one for which an endpoint was chosen.
     ///
     /// # Errors
     ///
-    /// It may not be served any more.
+    /// The request is no longer admitted.
     pub fn readmit(&self, original: &Original, ticket: &mut Ticket) -> Result<bool, Refusal> {
         let mut state = self.state.borrow_mut();
         let renewed = state.readmit(clock::now(), &original.inbound, ticket)?;
@@ -258,7 +257,7 @@
         Ok(same)
     }
 
-    /// A send did not reach its endpoint after all.
+    /// Refunds a retry that did not reach its endpoint.
     pub fn refund_send(&self, service: &str, is_retry: bool) {
         if is_retry {
             let now = clock::now();
@@ -266,7 +265,8 @@
         }
     }
 
-    /// An endpoint turned a request down unrun.
+    /// Marks an endpoint as full after it rejected a request without running it; as
+    /// unreachable if the request was misdirected (421).
     pub fn mark_rejected(&self, key: EndpointKey, status: StatusCode) {
         let now = clock::now();
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
@@ -278,7 +278,7 @@
         }
     }
 
-    /// A request is on its way to an endpoint.
+    /// Records a send to an endpoint.
     pub fn record_send(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.pace.sent(clock::now());
@@ -287,7 +287,7 @@
 }
 
 impl Shared {
-    /// Fellows to talk to.
+    /// Peers to which this instance sends.
     #[must_use]
     pub fn links(&self) -> Vec<Link> {
         let state = self.state.borrow();
@@ -295,7 +295,7 @@
         state.members.links(own, clock::now())
     }
 
-    /// Whether a fellow stands in the own failure domain.
+    /// Whether a peer is in the own failure domain.
     #[must_use]
     pub fn in_own_domain(&self, name: &str) -> bool {
         let state = self.state.borrow();
@@ -303,15 +303,15 @@
         domain == Some(&self.settings.instance.domain)
     }
 
-    /// A fellow is talked to and owes an answer.
+    /// Records that a message to a peer expects an answer.
     pub fn expect_answer(&self, datagrams: &DatagramSocket, key: MemberKey, address: SocketAddr) {
         let connected = datagrams.is_open(address);
         let mut state = self.state.borrow_mut();
         state.members.asked(key, clock::now(), connected);
     }
 
-    /// Life and version of an aggregator's sums that are held, if its rows are wanted: those
-    /// of the aggregator that is preferred, or of all while none answers.
+    /// Incarnation and version held of an aggregator's sums, if its rows are to be requested:
+    /// only from the preferred aggregator, or from all while none answers.
     #[must_use]
     pub fn held_version(&self, aggregator: &str, now: Time) -> Option<(u64, u64)> {
         let state = self.state.borrow();
@@ -321,7 +321,8 @@
         wanted.then(|| views.version(aggregator))
     }
 
-    /// Instances that this one speaks for as an aggregator; none once it is to stop.
+    /// Number of instances that report to this aggregator, itself included; zero while it
+    /// shuts down.
     #[must_use]
     pub fn reporting_instances(&self, now: Time) -> u32 {
         if self.draining.get() {
@@ -331,7 +332,7 @@
         u32::try_from(members).unwrap_or(u32::MAX)
     }
 
-    /// Load of the own failure domain, and the instances that it is made of.
+    /// Load of the own failure domain, and the number of instances in it.
     #[must_use]
     pub fn domain_load(&self, own: &Report, now: Time) -> (Report, u32) {
         let members = self.reporting_instances(now);
@@ -341,8 +342,8 @@
         (loads, members)
     }
 
-    /// Takes the report of a member in. Where work has begun the other failure domains are
-    /// to hear of it before their next choice.
+    /// Applies the report of a member. Rows that have grown are sent to the other failure
+    /// domains at once, before they place further requests there.
     pub fn apply_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
         let State { fellows, sums, .. } = &mut *state;
@@ -359,7 +360,7 @@
         sums.report(now, fellows, member, number, loads);
     }
 
-    /// Takes the present sums into the table that members are told from.
+    /// Copies the current sums into the table from which members are answered.
     pub fn publish(&self, own: Report) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
@@ -368,18 +369,18 @@
         sums.publish(now, fellows, own);
     }
 
-    /// Settles where the load of other instances is taken from.
+    /// Selects the source of other instances' load.
     pub fn select_load_source(&self, role: Role) {
         let now = clock::now();
         let before = self.role.replace(role);
         if before != role {
-            log::info!(role:?, before:?; "part in the exchange of load changed");
+            log::info!(role:?, before:?; "gossip role changed");
         }
         let mut state = self.state.borrow_mut();
         if state.sums.settle(now, role != Role::Member) {
             let aggregator = state.sums.aggregator().unwrap_or_default();
             let age = state.sums.age(now).unwrap_or_default();
-            log::info!(aggregator, role:?, age_ms = age.as_millis(); "load of others taken from");
+            log::info!(aggregator, role:?, age_ms = age.as_millis(); "load source changed");
         }
     }
 }
--- a/crates/proxy/src/topic.rs
+++ b/crates/proxy/src/topic.rs
@@ -1,4 +1,4 @@
-//! How far each topic of the store is known.
+//! Read progress of the store's topics.
 
 use {
     crate::{clock, prelude::*},
@@ -10,10 +10,10 @@
     tokio::sync::Notify,
 };
 
-/// The topics, in the order in which reports name them.
+/// The topics, in the order of watermarks in reports.
 pub const ALL: [Topic; TOPICS] = [Topic::Operators, Topic::Endpoints, Topic::Instances];
 
-/// Place of a topic in [`ALL`].
+/// Index of a topic in [`ALL`].
 #[must_use]
 pub const fn index(topic: Topic) -> usize {
     match topic {
@@ -23,23 +23,23 @@
     }
 }
 
-/// How far one topic is known.
+/// Read progress of one topic.
 #[derive(Debug, Default)]
 pub struct TopicState {
-    /// Age of what is known.
+    /// Age of the data.
     pub freshness: Cell<Freshness>,
-    /// Offset after the last record taken in; `None` before the first read.
+    /// Offset after the last record applied; `None` before the first read.
     pub position: Cell<Option<u64>>,
-    /// Whether the last call to the store was answered.
+    /// Whether the last call to the store succeeded.
     pub reachable: Cell<bool>,
-    /// Signalled when a read is wanted at once.
+    /// Notified when a read is wanted at once.
     pub read_wanted: Notify,
-    /// Signalled after each read, whether it failed or not.
+    /// Notified after each read, successful or not.
     pub read_done: Notify,
 }
 
 impl TopicState {
-    /// What this instance says of its knowledge.
+    /// This instance's watermark of the topic.
     #[must_use]
     pub fn watermark(&self) -> Word {
         let position = self.position.get();
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -1,4 +1,4 @@
-//! What an aggregator keeps of the records that it passes on.
+//! Retention of records that an aggregator relays.
 
 use {
     bytes::Bytes,
@@ -24,10 +24,9 @@
     records.map(|records| records.iter().map(|record| record.offset).collect())
 }
 
-/// A member that lacks some records gets just these. With one left out it would use a route
-/// that was moved, and take its knowledge for complete.
+/// A member that misses one record would use an outdated route and take its data for complete.
 #[test]
-fn a_member_gets_all_records_that_it_lacks() {
+fn since_returns_all_missing_records() {
     let mut history = History::default();
     history.add(5, &records(5, 8));
     history.add(8, &records(8, 10));
@@ -36,20 +35,19 @@
     assert_eq!(offsets(history.since(4)), None);
 }
 
-/// Records come twice, from a read and from a fellow. Kept twice they would push out those
+/// The same record may arrive from the store and from a peer; a duplicate would evict records
 /// that members still lack.
 #[test]
-fn records_that_come_twice_are_kept_once() {
+fn duplicate_records_are_retained_once() {
     let mut history = History::default();
     history.add(5, &records(5, 8));
     history.add(5, &records(5, 9));
     assert_eq!(offsets(history.since(5)), Some(vec![5, 6, 7, 8]));
 }
 
-/// The store has dropped its history, and what came meanwhile was read as newest records. A
-/// member that was sent what lies on both sides of the gap would never learn of the rest.
+/// A member that received records from both sides of a gap would never get those in between.
 #[test]
-fn nothing_is_sent_across_a_gap() {
+fn no_records_are_returned_across_a_gap() {
     let mut history = History::default();
     history.add(5, &records(5, 8));
     history.add(20, &records(20, 22));
@@ -57,10 +55,9 @@
     assert_eq!(offsets(history.since(20)), Some(vec![20, 21]));
 }
 
-/// Configurations come in quick succession and are large. What is kept of them must not fill
-/// the memory of a small machine.
+/// Guards against unbounded memory when many large configurations arrive.
 #[test]
-fn what_is_kept_is_bounded() {
+fn history_size_is_bounded() {
     let mut history = History::default();
     for offset in 0..100 {
         history.add(offset, &[record(offset, MAX_HISTORY_BYTES / 10)]);
@@ -70,10 +67,10 @@
     assert_eq!(kept.len(), 5);
 }
 
-/// A member reports several times before the records that it lacks arrive. Sent each time,
-/// they would fill its link.
+/// A member reports several times before missing records arrive; sending them each time would
+/// fill its link.
 #[test]
-fn a_member_is_not_sent_the_same_again_at_once() {
+fn resend_waits_for_the_delay() {
     let mut history = History::default();
     let at = |millis| Time::default().after(Duration::from_millis(millis));
     assert!(history.due("e1", at(1000)));
--- a/crates/proxy/tests/settings.rs
+++ b/crates/proxy/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings of an instance that forwards, good and bad.
+//! Valid and invalid settings of a proxy instance.
 
 use proxy::Settings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [instance]
 domain = "a"
 fellows = "127.0.0.1:7200"
@@ -21,28 +21,28 @@
 address = "127.0.0.1:8742"
 "#;
 
-/// A platform adds fields in time; an instance that refused them would not start.
+/// A platform may add keys; an instance that rejected them would not start.
 #[test]
-fn unknown_keys_are_passed_over() {
-    let settings = Settings::parse("settings.toml", GOOD).expect("settings");
+fn unknown_keys_are_ignored() {
+    let settings = Settings::parse("settings.toml", VALID).expect("settings");
     assert_eq!(settings.joint.most_instances, 10);
     assert_eq!(settings.decisions().revocation.as_secs(), 5);
 }
 
-/// An operator mistypes a value, or the file is cut short. The instance must not run with
-/// bounds that nobody chose; the error names file, key and reason.
+/// Guards against starting with limits that nobody set when a value is invalid or the file
+/// truncated.
 #[test]
-fn faults_name_file_key_and_reason() {
+fn errors_name_file_and_key() {
     let cases = [
-        (GOOD.replace("grace_s = 8", "grace_s = \"8\""), "grace_s"),
+        (VALID.replace("grace_s = 8", "grace_s = \"8\""), "grace_s"),
         (
-            GOOD.replace("retry_ratio = 0.2", "retry_ratio = -1"),
+            VALID.replace("retry_ratio = 0.2", "retry_ratio = -1"),
             "joint.retry_ratio",
         ),
-        (GOOD.replace("retry_burst = 54", ""), "retry_burst"),
-        (GOOD.replace("127.0.0.1:8080", "here"), "listen"),
-        (GOOD.replace("address =", "adress ="), "address"),
-        (GOOD[..GOOD.len() - 30].to_string(), "[stor"),
+        (VALID.replace("retry_burst = 54", ""), "retry_burst"),
+        (VALID.replace("127.0.0.1:8080", "here"), "listen"),
+        (VALID.replace("address =", "adress ="), "address"),
+        (VALID[..VALID.len() - 30].to_string(), "[stor"),
     ];
     for (text, key) in cases {
         let error = Settings::parse("settings.toml", &text)
