--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -21,7 +21,7 @@
     pub stamp: Stamp,
 }
 
-/// A configuration record as it stands in the log.
+/// A configuration record of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
     /// Content.
--- a/crates/proxy/src/gossip/receive.rs
+++ b/crates/proxy/src/gossip/receive.rs
@@ -44,7 +44,7 @@
         // Reports from other domains, whose senders do not yet know that instances are many,
         // are skipped: their load is part of their own domain's sum.
         shared.apply_report(now, &report.name, report.number, loads);
-        report::answer(shared, datagrams, &report);
+        report::send_answer(shared, datagrams, &report);
         if report.held_version.is_some() {
             shared.peers.note_subscriber(&report.name, now);
             records::send_missing(shared, &report);
--- a/crates/proxy/src/gossip/report.rs
+++ b/crates/proxy/src/gossip/report.rs
@@ -50,11 +50,11 @@
 
 /// Sends reports and sums; never returns.
 pub async fn run(shared: &Shared, datagrams: &DatagramSocket) {
-    let mut whole_at = clock::now();
+    let mut full_sum_at = clock::now();
     loop {
         let role = role(shared);
         match role {
-            Role::Aggregator => sum_due(shared, whole_at).await,
+            Role::Aggregator => sum_due(shared, full_sum_at).await,
             Role::Equal => load_changed(shared, MAX_INTERVAL.saturating_sub(MIN_INTERVAL)).await,
             Role::Member => report_due(shared).await,
         }
@@ -65,27 +65,27 @@
         match role {
             Role::Aggregator => {
                 let now = clock::now();
-                let is_whole = now >= whole_at;
-                if is_whole {
-                    whole_at = now.after(SUM_INTERVAL);
+                let is_full = now >= full_sum_at;
+                if is_full {
+                    full_sum_at = now.after(SUM_INTERVAL);
                 }
                 shared.publish(loads.clone());
-                report(shared, datagrams, &links, &loads);
-                sum(shared, datagrams, &links, &loads, is_whole);
+                send_report(shared, datagrams, &links, &loads);
+                send_sum(shared, datagrams, &links, &loads, is_full);
             }
             Role::Equal => {
-                report(shared, datagrams, &links, &loads);
+                send_report(shared, datagrams, &links, &loads);
                 sleep(MIN_INTERVAL).await;
             }
-            Role::Member => report(shared, datagrams, &links, &loads),
+            Role::Member => send_report(shared, datagrams, &links, &loads),
         }
     }
 }
 
-/// Waits until an aggregator's next sum is due: a complete one at `whole_at`, or earlier one
+/// Waits until an aggregator's next sum is due: a complete one at `full_sum_at`, or earlier one
 /// of grown rows after [`GROWN_ROWS_DELAY`].
-async fn sum_due(shared: &Shared, whole_at: Time) {
-    let left = whole_at.since(clock::now());
+async fn sum_due(shared: &Shared, full_sum_at: Time) {
+    let left = full_sum_at.since(clock::now());
     let now = timeout(left, shared.report_now.notified());
     if now.await.is_ok() {
         sleep(GROWN_ROWS_DELAY).await;
@@ -126,9 +126,9 @@
     }
 }
 
-/// Waits until the load has changed, at most for `most`.
-async fn load_changed(shared: &Shared, most: Duration) {
-    let _changed = timeout(most, shared.load.notified()).await;
+/// Waits until the load has changed, at most for `limit`.
+async fn load_changed(shared: &Shared, limit: Duration) {
+    let _changed = timeout(limit, shared.load.notified()).await;
 }
 
 /// Load of this instance, sorted by digest.
@@ -157,7 +157,7 @@
 
 /// Reports the load to the aggregators of the own failure domain, or to all peers if instances
 /// are few.
-fn report(shared: &Shared, datagrams: &DatagramSocket, links: &[Link], loads: &load::Report) {
+fn send_report(shared: &Shared, datagrams: &DatagramSocket, links: &[Link], loads: &load::Report) {
     let now = clock::now();
     let role = role(shared);
     let number = now.micros();
@@ -196,12 +196,12 @@
 
 /// Sends this failure domain's load to the aggregators of others: all rows, or those that have
 /// grown.
-fn sum(
+fn send_sum(
     shared: &Shared,
     datagrams: &DatagramSocket,
     links: &[Link],
     own: &load::Report,
-    is_whole: bool,
+    is_full: bool,
 ) {
     let now = clock::now();
     let mut names = shared.state.borrow().sums.domains.senders();
@@ -216,7 +216,7 @@
     names.dedup();
     let (loads, members) = shared.domain_load(own, now);
     let grown = shared.grown.take();
-    let parts = if is_whole {
+    let parts = if is_full {
         parts(&loads)
     } else {
         grown_rows(&loads, grown, own)
@@ -280,7 +280,7 @@
 }
 
 /// Answers the report of a member.
-pub fn answer(shared: &Shared, datagrams: &DatagramSocket, report: &Report) {
+pub fn send_answer(shared: &Shared, datagrams: &DatagramSocket, report: &Report) {
     let Some(address) = shared.peers.address(&report.name) else {
         return;
     };
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -221,7 +221,7 @@
 
 /// Reads the whole body.
 async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
-    let most = {
+    let max_bytes = {
         let state = shared.state.borrow();
         state
             .config()
@@ -229,7 +229,7 @@
             .unwrap_or_default()
             .body
     };
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Err(error) => {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -116,12 +116,12 @@
 
 /// Expected output tokens: the caller's estimate, at most its limit.
 fn expected_output_tokens(inbound: &Inbound) -> u32 {
-    let most = if inbound.most_output == 0 {
+    let limit = if inbound.most_output == 0 {
         DEFAULT_OUTPUT_TOKENS
     } else {
         inbound.most_output
     };
-    inbound.length_hint.map_or(most, |hint| hint.min(most))
+    inbound.length_hint.map_or(limit, |hint| hint.min(limit))
 }
 
 fn begin(
