--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -81,7 +81,10 @@
     let (change, error) = list::change(record);
     match (&change, error) {
         (_, Some(error)) => {
-            log::warn!(endpoint = record.key, offset = record.offset, error:%; "invalid endpoint record");
+            log::warn!(
+                endpoint = record.key, offset = record.offset, error:%;
+                "invalid endpoint record"
+            );
         }
         (Change::Gone(id), None) => {
             log::info!(endpoint = id, offset = record.offset; "endpoint removed from the list");
@@ -107,7 +110,10 @@
             set_instance(shared, &record.key, entry);
         }
         Err(error) => {
-            log::warn!(fellow = record.key, offset = record.offset, error:%; "invalid instance record");
+            log::warn!(
+                fellow = record.key, offset = record.offset, error:%;
+                "invalid instance record"
+            );
         }
     }
 }
@@ -137,7 +143,10 @@
 fn apply_operator_record(shared: &Shared, record: &Keyed) {
     match records::order(record) {
         Err(error) => {
-            log::error!(key = record.key, offset = record.offset, error:%; "invalid operator record");
+            log::error!(
+                key = record.key, offset = record.offset, error:%;
+                "invalid operator record"
+            );
         }
         Ok(Order::Unknown(key)) => {
             log::info!(key, offset = record.offset; "unknown kind of operator record");
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -229,7 +229,10 @@
     let sent_at = clock::now();
     let tail = match shared.store.read(topic, from, long_poll_timeout).await {
         Err(platform::Error::Expired(first)) => {
-            log::warn!(topic:?, from, first; "requested offset is no longer in the store; reading newest records");
+            log::warn!(
+                topic:?, from, first;
+                "requested offset is no longer in the store; reading newest records"
+            );
             return read_newest(shared, topic, Some(from)).await;
         }
         tail => tail?,
@@ -314,7 +317,10 @@
         let late = now.since(started_at).saturating_sub(TICK_INTERVAL);
         shared.metrics.record_loop_lateness(late);
         if late > STALL_THRESHOLD {
-            log::warn!(late_ms = late.as_millis(), in_progress = shared.in_progress.get(); "event loop stalled");
+            log::warn!(
+                late_ms = late.as_millis(), in_progress = shared.in_progress.get();
+                "event loop stalled"
+            );
         }
     }
 }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -45,7 +45,7 @@
             }
         }
         Err(why) => {
-            log::info!(endpoint, list_age_ms, why; "probe failed");
+            log::info!(endpoint, list_age_ms, why; "probe of engine failed");
             shared.state.borrow_mut().unanswered(clock::now(), key);
         }
     }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -44,8 +44,8 @@
     /// Whether the engine with the backup copy has been asked since the last event.
     backup_asked: bool,
     guard: Option<RequestGuard>,
-    first: Duration,
-    last_at: Time,
+    first_event_delay: Duration,
+    last_event_at: Time,
     last_event: Rc<RefCell<Option<String>>>,
     longest_pause: Duration,
     next_move: Time,
@@ -120,20 +120,20 @@
     pub fn new(shared: &Rc<Shared>, start: RelayStart) -> Self {
         let now = clock::now();
         let inbound = &start.original.inbound;
-        let behind = start.ticket.resumes_behind(inbound);
+        let resume_after = start.ticket.resumes_behind(inbound);
         Self {
             backup_asked: false,
             guard: start.guard,
-            first: now.since(inbound.arrived),
-            last_at: now,
-            last_event: Rc::new(RefCell::new(behind.map(str::to_string))),
+            first_event_delay: now.since(inbound.arrived),
+            last_event_at: now,
+            last_event: Rc::new(RefCell::new(resume_after.map(str::to_string))),
             longest_pause: Duration::ZERO,
             next_move: Time::default(),
             out: start.out,
             progress: start.progress,
             quiet_since: now,
             running: start.running,
-            sequence: Sequence::behind(behind),
+            sequence: Sequence::behind(resume_after),
             shared: Rc::clone(shared),
             source: start.source,
             takeovers: 0,
@@ -146,7 +146,7 @@
     pub async fn run(mut self, blocks: Vec<Bytes>, ended: bool) {
         let ending = self.relay(blocks, ended).await;
         if matches!(ending, Ending::Complete) && self.out.send(Part::End).await.is_err() {
-            log::debug!(id = self.original.inbound.id; "caller disconnected at the end of the stream");
+            log::debug!(id = self.original.inbound.id; "caller disconnected at the end");
         }
         let took = clock::now().since(self.original.inbound.arrived);
         let why = match &ending {
@@ -156,7 +156,7 @@
         log::info!(
             id = self.original.inbound.id, route = self.ticket.route.name,
             outcome = ending.label(), why, events = self.sequence.count(),
-            takeovers = self.takeovers, first_ms = self.first.as_millis(),
+            takeovers = self.takeovers, first_ms = self.first_event_delay.as_millis(),
             target_ms = self.ticket.route.target.as_millis(),
             gap_ms = self.ticket.route.gap.unwrap_or(DEFAULT_MAX_GAP).as_millis(),
             pause_ms = self.longest_pause.as_millis(), ms = took.as_millis(); "stream ended"
@@ -327,8 +327,8 @@
         let now = clock::now();
         self.quiet_since = now;
         self.backup_asked = false;
-        self.longest_pause = self.longest_pause.max(now.since(self.last_at));
-        self.last_at = now;
+        self.longest_pause = self.longest_pause.max(now.since(self.last_event_at));
+        self.last_event_at = now;
         if let Some(run) = self.shared.state.borrow_mut().run_mut(self.running.key) {
             run.events = self.sequence.count();
         }
