--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -112,7 +112,7 @@
     let address = address.to_string();
     let sending = shared.client.send(&address, request);
     match timeout(limit, sending).await {
-        Err(_) => SendOutcome::Unknown("no answer in time".to_string()),
+        Err(_) => SendOutcome::Unknown("no response within the time limit".to_string()),
         Ok(Err(error)) if error.unwritten() => SendOutcome::NotWritten(error.to_string()),
         Ok(Err(error)) => SendOutcome::Unknown(error.to_string()),
         Ok(Ok(reply)) => {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -78,10 +78,10 @@
                     return Err(progress.give_up(id, refusal));
                 }
             }
-            OpenOutcome::Stream(opening) => {
+            OpenOutcome::Stream(opened_stream) => {
                 let (out, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
                 let mut reply = Response::new(Body::Parts(parts));
-                *reply.headers_mut() = opening.headers;
+                *reply.headers_mut() = opened_stream.headers;
                 shared
                     .metrics
                     .record_first_event(clock::now().since(original.inbound.arrived));
@@ -91,11 +91,11 @@
                     out,
                     progress,
                     running,
-                    source: opening.source,
+                    source: opened_stream.source,
                     ticket,
                 };
                 let relay = Relay::new(shared, start);
-                tokio::task::spawn_local(relay.run(opening.blocks, opening.ended));
+                tokio::task::spawn_local(relay.run(opened_stream.blocks, opened_stream.ended));
                 return Ok(reply);
             }
             OpenOutcome::NotReached => {
