--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -12,7 +12,7 @@
         snapshot::Snapshot,
     },
     endpoint::{engine, service, tell},
-    fellow::Answer,
+    peer::Answer,
     streamlog::stream::{self, Stream},
 };
 
@@ -301,7 +301,7 @@
 const MOST_DETAIL: usize = 160;
 
 fn heard(asked: Time, answer: Answer) -> PeerUpdate {
-    let lines = answer.lines.into_iter();
+    let lines = answer.records.into_iter();
     PeerUpdate {
         asked,
         watermark: Watermark {
--- /dev/null
+++ b/crates/peer/src/datagram.rs
@@ -0,0 +1,230 @@
+//! QUIC connections between instances: datagrams for reports, where a lost one is superseded
+//! by the next, and streams for data that must arrive.
+//!
+//! Two instances share one connection, whichever of them opened it, to save handshakes and
+//! memory.
+
+use {
+    crate::{message::MAX_MESSAGE_BYTES, prelude::*},
+    bytes::Bytes,
+};
+
+/// Limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Application error code for closing a connection that is no longer used.
+const CLOSE_CODE: quinn::VarInt = quinn::VarInt::from_u32(0);
+
+/// A connection to a peer.
+#[derive(Debug)]
+struct PeerConnection {
+    address: SocketAddr,
+    connection: Connection,
+    initiator: Initiator,
+}
+
+/// Which of the two instances opened a connection.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Initiator {
+    /// The peer.
+    Remote,
+    /// This instance.
+    Local,
+}
+
+/// Connections to peers, sorted by address.
+type Connections = Vec<PeerConnection>;
+
+/// A QUIC socket with its open connections; clones share it.
+#[derive(Clone, Debug)]
+pub struct DatagramSocket {
+    endpoint: Endpoint,
+    received: Sender<Bytes>,
+    open: Arc<Mutex<Connections>>,
+}
+
+impl DatagramSocket {
+    /// Listens on an address; data from peers goes to `received`.
+    ///
+    /// # Errors
+    ///
+    /// The address cannot be bound.
+    pub fn listen(
+        listen: SocketAddr,
+        configs: tls::Configs,
+        received: Sender<Bytes>,
+    ) -> Result<Self, Error> {
+        let mut endpoint = Endpoint::server(configs.server, listen)?;
+        endpoint.set_default_client_config(configs.client);
+        let datagrams = Self {
+            endpoint,
+            received,
+            open: Arc::default(),
+        };
+        tokio::spawn(accept(datagrams.clone()));
+        Ok(datagrams)
+    }
+
+    /// The local address.
+    ///
+    /// # Errors
+    ///
+    /// The operating system does not report it.
+    pub fn address(&self) -> Result<SocketAddr, Error> {
+        Ok(self.endpoint.local_addr()?)
+    }
+
+    /// Opens a connection unless one is open already.
+    ///
+    /// # Errors
+    ///
+    /// The peer cannot be reached within 800 ms, or its certificate is not accepted.
+    pub async fn connect(&self, address: SocketAddr) -> Result<(), Error> {
+        if self.existing(address).is_some() {
+            return Ok(());
+        }
+        let failed = |error: &dyn Display| Error::Connection(error.to_string());
+        let connecting = self
+            .endpoint
+            .connect(address, tls::PEER_NAME)
+            .map_err(|error| failed(&error))?;
+        let connection = timeout(CONNECT_TIMEOUT, connecting)
+            .await
+            .map_err(|_elapsed| Error::NoResponse)?
+            .map_err(|error| failed(&error))?;
+        self.register(address, connection, Initiator::Local);
+        Ok(())
+    }
+
+    /// Stores a connection and reads from it; closes the one that it replaces, if any.
+    fn register(&self, address: SocketAddr, connection: Connection, initiator: Initiator) {
+        tokio::spawn(read(connection.clone(), self.received.clone()));
+        let entry = PeerConnection {
+            address,
+            connection,
+            initiator,
+        };
+        let mut open = self.lock();
+        match open.binary_search_by_key(&address, |other| other.address) {
+            Ok(index) => {
+                let replaced = std::mem::replace(&mut open[index], entry);
+                replaced.connection.close(CLOSE_CODE, b"replaced");
+            }
+            Err(index) => open.insert(index, entry),
+        }
+    }
+
+    /// Sends a datagram over an open connection.
+    ///
+    /// # Errors
+    ///
+    /// No connection is open, or the datagram is too large for it.
+    pub fn send(&self, address: SocketAddr, data: Bytes) -> Result<(), Error> {
+        let connection = self.existing(address).ok_or(Error::NoResponse)?;
+        let sent = connection.send_datagram(data);
+        sent.map_err(|error| Error::Connection(error.to_string()))
+    }
+
+    /// Sends data of any size on a stream of its own, in the background. A failure is only
+    /// logged.
+    ///
+    /// # Errors
+    ///
+    /// No connection is open.
+    pub fn send_reliable(&self, address: SocketAddr, data: Bytes) -> Result<(), Error> {
+        let connection = self.existing(address).ok_or(Error::NoResponse)?;
+        tokio::spawn(async move {
+            let sent = async {
+                let mut stream = connection.open_uni().await?;
+                stream.write_all(&data).await?;
+                stream.finish()?;
+                Ok::<_, Box<dyn std::error::Error + Send + Sync>>(())
+            };
+            if let Err(error) = sent.await {
+                log::debug!(address:%, error:%; "cannot send data to peer instance");
+            }
+        });
+        Ok(())
+    }
+
+    /// Closes all connections for which `keep` returns false, and drops those that have
+    /// failed.
+    pub fn retain(&self, keep: impl Fn(SocketAddr, Initiator) -> bool) {
+        self.lock().retain(|entry| {
+            let is_open = entry.connection.close_reason().is_none();
+            let keep_open = is_open && keep(entry.address, entry.initiator);
+            if is_open && !keep_open {
+                entry.connection.close(CLOSE_CODE, b"not wanted");
+            }
+            keep_open
+        });
+    }
+
+    /// Closes the connection to a peer.
+    pub fn close(&self, address: SocketAddr) {
+        self.retain(|other, _| other != address);
+    }
+
+    /// Whether a connection to a peer is open.
+    #[must_use]
+    pub fn is_open(&self, address: SocketAddr) -> bool {
+        self.existing(address).is_some()
+    }
+
+    fn existing(&self, address: SocketAddr) -> Option<Connection> {
+        let mut open = self.lock();
+        let index = open
+            .binary_search_by_key(&address, |entry| entry.address)
+            .ok()?;
+        if open[index].connection.close_reason().is_some() {
+            open.remove(index);
+            return None;
+        }
+        Some(open[index].connection.clone())
+    }
+
+    fn lock(&self) -> std::sync::MutexGuard<'_, Connections> {
+        self.open
+            .lock()
+            .expect("the connections are never poisoned")
+    }
+}
+
+async fn accept(datagrams: DatagramSocket) {
+    while let Some(incoming) = datagrams.endpoint.accept().await {
+        let datagrams = datagrams.clone();
+        tokio::spawn(async move {
+            match incoming.await {
+                // Peers connect from the address on which they listen.
+                Ok(connection) => {
+                    datagrams.register(connection.remote_address(), connection, Initiator::Remote);
+                }
+                Err(error) => log::debug!(error:%; "handshake with peer instance failed"),
+            }
+        });
+    }
+}
+
+/// Forwards datagrams and streams of a connection to `received` until it closes.
+async fn read(connection: Connection, received: Sender<Bytes>) {
+    let streams = tokio::spawn(read_streams(connection.clone(), received.clone()));
+    while let Ok(data) = connection.read_datagram().await {
+        if received.send(data).await.is_err() {
+            break;
+        }
+    }
+    streams.abort();
+}
+
+async fn read_streams(connection: Connection, received: Sender<Bytes>) {
+    while let Ok(mut stream) = connection.accept_uni().await {
+        match stream.read_to_end(MAX_MESSAGE_BYTES).await {
+            Ok(data) => {
+                if received.send(data.into()).await.is_err() {
+                    return;
+                }
+            }
+            Err(error) => log::debug!(error:%; "cannot read data from peer instance"),
+        }
+    }
+}
--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -1,4 +1,4 @@
-//! Taking records of the store in.
+//! Applies records of the store to the state of this instance.
 
 use {
     crate::{clock, prelude::*},
@@ -11,56 +11,56 @@
     },
 };
 
-/// Takes the newest record of each key in; keys that are not among them are gone.
-pub fn all(shared: &Shared, topic: Topic, records: &[Keyed]) {
+/// Applies the newest record of each key; keys that are not among them are removed.
+pub fn snapshot(shared: &Shared, topic: Topic, records: &[Keyed]) {
     match topic {
-        Topic::Endpoints => drop_unlisted(shared, records),
-        Topic::Operators => take_back(shared, records),
-        Topic::Instances => forget_unlisted(shared, records),
+        Topic::Endpoints => remove_unlisted_endpoints(shared, records),
+        Topic::Operators => reinstate_unlisted_domains(shared, records),
+        Topic::Instances => remove_unlisted_instances(shared, records),
     }
     for record in records {
-        one(shared, topic, record);
+        update(shared, topic, record);
     }
 }
 
-/// Takes one record in.
-pub fn one(shared: &Shared, topic: Topic, record: &Keyed) {
+/// Applies one record.
+pub fn update(shared: &Shared, topic: Topic, record: &Keyed) {
     match topic {
-        Topic::Endpoints => entry(shared, record),
-        Topic::Instances => fellow(shared, record),
-        Topic::Operators => order(shared, record),
+        Topic::Endpoints => apply_endpoint(shared, record),
+        Topic::Instances => apply_instance(shared, record),
+        Topic::Operators => apply_operator_record(shared, record),
     }
 }
 
-fn drop_unlisted(shared: &Shared, records: &[Keyed]) {
+fn remove_unlisted_endpoints(shared: &Shared, records: &[Keyed]) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     for id in state.listed() {
         if !records.iter().any(|record| record.key == id) {
-            log::info!(endpoint = id; "endpoint not among the newest records");
+            log::info!(endpoint = id; "endpoint removed: not among the newest records");
             state.change(now, Change::Removed(id));
         }
     }
 }
 
-/// Instances whose entry is gone are forgotten. If it is the own one, it is written again:
-/// fellows that have not heard of an instance do not let it in.
-fn forget_unlisted(shared: &Shared, records: &[Keyed]) {
+/// Removes instances that have no entry. If this instance's own entry is missing, it is
+/// published again: peers reject connections from instances that are not listed.
+fn remove_unlisted_instances(shared: &Shared, records: &[Keyed]) {
     let listed = |name: &str| records.iter().any(|record| record.key == name);
     let own = &shared.settings.instance.name;
     if !listed(own) {
         shared.republish.notify_one();
     }
-    for name in shared.fellows.names() {
+    for name in shared.peers.names() {
         if name != *own && !listed(&name) {
-            log::info!(fellow = name; "instance not among the newest records");
-            list(shared, &name, None);
+            log::info!(fellow = name; "instance removed: not among the newest records");
+            set_instance(shared, &name, None);
         }
     }
 }
 
-/// Failure domains whose record is gone are in again.
-fn take_back(shared: &Shared, records: &[Keyed]) {
+/// Enables failure domains that no record disables any more.
+fn reinstate_unlisted_domains(shared: &Shared, records: &[Keyed]) {
     let out = records
         .iter()
         .filter_map(|record| match records::order(record) {
@@ -71,20 +71,23 @@
     let mut state = shared.state.borrow_mut();
     for domain in state.disabled_domains().to_vec() {
         if !out.contains(&domain) {
-            log::info!(domain; "failure domain in again by the newest records");
+            log::info!(domain; "failure domain enabled: not among the newest records");
             state.set_domain(&domain, false);
         }
     }
 }
 
-fn entry(shared: &Shared, record: &Keyed) {
+fn apply_endpoint(shared: &Shared, record: &Keyed) {
     let (change, error) = list::change(record);
     match (&change, error) {
         (_, Some(error)) => {
-            log::warn!(endpoint = record.key, offset = record.offset, error:%; "entry of no use");
+            log::warn!(
+                endpoint = record.key, offset = record.offset, error:%;
+                "invalid endpoint record"
+            );
         }
         (Change::Removed(id), None) => {
-            log::info!(endpoint = id, offset = record.offset; "endpoint gone from the list");
+            log::info!(endpoint = id, offset = record.offset; "endpoint removed from the list");
         }
         (Change::Set(listing), None) => log::info!(
             endpoint = listing.id, offset = record.offset, leaving = listing.leaving,
@@ -95,7 +98,7 @@
     shared.state.borrow_mut().change(clock::now(), change);
 }
 
-fn fellow(shared: &Shared, record: &Keyed) {
+fn apply_instance(shared: &Shared, record: &Keyed) {
     match instance::decode(record) {
         Ok(entry) => {
             let address = entry.as_ref().map(|entry| entry.address);
@@ -104,16 +107,19 @@
             if own && entry.is_none() {
                 shared.republish.notify_one();
             }
-            list(shared, &record.key, entry);
+            set_instance(shared, &record.key, entry);
         }
         Err(error) => {
-            log::warn!(fellow = record.key, offset = record.offset, error:%; "record of no use");
+            log::warn!(
+                fellow = record.key, offset = record.offset, error:%;
+                "invalid instance record"
+            );
         }
     }
 }
 
-/// Takes the entry of an instance in, or forgets the instance.
-fn list(shared: &Shared, name: &str, entry: Option<Entry>) {
+/// Adds or updates an instance, or removes it if there is no entry.
+fn set_instance(shared: &Shared, name: &str, entry: Option<Entry>) {
     {
         let mut state = shared.state.borrow_mut();
         if let Some(entry) = &entry {
@@ -127,20 +133,23 @@
         let published = state.members.count();
         state.count_instances(published);
     };
-    if let Some(address) = shared.fellows.hear(name, entry)
-        && let Some(datagrams) = &*shared.fellows.datagrams.borrow()
+    if let Some(address) = shared.peers.update(name, entry)
+        && let Some(datagrams) = &*shared.peers.datagrams.borrow()
     {
         datagrams.close(address);
     }
 }
 
-fn order(shared: &Shared, record: &Keyed) {
+fn apply_operator_record(shared: &Shared, record: &Keyed) {
     match records::order(record) {
         Err(error) => {
-            log::error!(key = record.key, offset = record.offset, error:%; "record of no use");
+            log::error!(
+                key = record.key, offset = record.offset, error:%;
+                "invalid operator record"
+            );
         }
         Ok(Order::Unknown(key)) => {
-            log::info!(key, offset = record.offset; "record of an unknown kind");
+            log::info!(key, offset = record.offset; "unknown kind of operator record");
         }
         Ok(Order::Domain(domain, out)) => {
             let changed = shared.state.borrow_mut().set_domain(&domain, out);
--- /dev/null
+++ b/crates/proxy/src/buffered.rs
@@ -0,0 +1,243 @@
+//! Requests whose responses are buffered in full before they are sent to the caller.
+
+use {
+    crate::{
+        clock,
+        exchange::{self, Destination, Original, SendOutcome},
+        gossip,
+        prelude::*,
+        progress::Progress,
+        reply,
+        shared::{InFlight, QueueSlot},
+    },
+    forward::{
+        choice::{Need, Pick},
+        request::Ticket,
+    },
+    platform::head::{self, Verdict},
+};
+
+/// Size limit of a buffered response.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+
+/// Fraction of a route's timeout for which a request may queue for an endpoint with room.
+const QUEUE_TIMEOUT_SHARE: f64 = 0.5;
+
+/// Result of an attempt.
+enum Attempt {
+    /// There is a response for the caller.
+    Answered(Reply),
+    /// Another endpoint may be tried.
+    Retry,
+    /// No further attempt is allowed.
+    Failed(Refusal),
+}
+
+/// A response that has been read in full.
+struct BufferedAnswer {
+    body: Bytes,
+    headers: http::HeaderMap,
+    status: StatusCode,
+    flags: Verdict,
+}
+
+/// Why there is no response.
+struct SendFailure {
+    why: String,
+    /// Whether anything was written to the endpoint.
+    written: bool,
+}
+
+/// Serves a request.
+///
+/// # Errors
+///
+/// Why the request got no response; see [`Progress::give_up`].
+pub async fn serve(
+    shared: &Rc<Shared>,
+    original: &Original,
+    ticket: Ticket,
+) -> Result<Reply, Refusal> {
+    let mut progress = Progress::default();
+    let mut ticket = ticket;
+    let id = &original.inbound.id;
+    loop {
+        match attempt(shared, original, &mut ticket, &mut progress).await {
+            Attempt::Answered(reply) => return Ok(reply),
+            Attempt::Failed(refusal) => return progress.finish(id, refusal),
+            Attempt::Retry => {}
+        }
+        if !progress.may_send(shared, &ticket) {
+            return progress.finish(id, Refusal::Full);
+        }
+    }
+}
+
+async fn attempt(
+    shared: &Rc<Shared>,
+    original: &Original,
+    ticket: &mut Ticket,
+    progress: &mut Progress,
+) -> Attempt {
+    let queue_timeout = ticket.route.timeout.mul_f64(QUEUE_TIMEOUT_SHARE);
+    let deadline = original
+        .inbound
+        .arrived
+        .after(queue_timeout)
+        .min(ticket.expires);
+    let acquired =
+        acquire_endpoint(shared, ticket, Need::default(), &progress.tried, deadline).await;
+    let Some((key, _)) = acquired else {
+        progress.why = "no endpoint with room".to_string();
+        return Attempt::Failed(Refusal::Full);
+    };
+    match shared.readmit(original, ticket) {
+        Ok(true) => {}
+        Ok(false) => return Attempt::Retry,
+        Err(refusal) => return Attempt::Failed(refusal),
+    }
+    let _in_flight = InFlight::new(shared, key);
+    shared.record_attempt(&ticket.service, progress.sends > 0);
+    progress.sends += 1;
+    match send(shared, original, ticket, progress, key).await {
+        Ok(answer) => classify(shared, ticket, progress, key, answer),
+        Err(failure) => {
+            shared.mark_unreachable(key);
+            if failure.written {
+                progress.note_run(key, failure.why);
+            } else {
+                progress.why = failure.why;
+                // The request never arrived, so it counts neither as an attempt nor against
+                // the retry budget. The endpoint is marked unreachable, so that the next
+                // attempt picks another one.
+                progress.sends -= 1;
+                shared.refund_send(&ticket.service, progress.sends > 0);
+            }
+            after_failure(ticket, progress, failure.written)
+        }
+    }
+}
+
+/// Sends the request and reads the whole response.
+async fn send(
+    shared: &Shared,
+    original: &Original,
+    ticket: &Ticket,
+    progress: &Progress,
+    key: EndpointKey,
+) -> Result<BufferedAnswer, SendFailure> {
+    let limit = ticket.attempt_timeout(clock::now(), progress.runs);
+    let destination = Destination {
+        backup: None,
+        customer: ticket.customer.as_deref(),
+        expires: ticket.expires,
+        key,
+        last_event: None,
+        source: None,
+    };
+    let unknown = |why: String| SendFailure { why, written: true };
+    let read = async {
+        match exchange::send(shared, original, &destination, limit).await {
+            SendOutcome::Answer(reply, flags) => {
+                let status = reply.status();
+                let headers = head::answer(reply.headers());
+                let body = reply.whole(MAX_ANSWER_BYTES).await;
+                Ok(BufferedAnswer {
+                    body: body.map_err(|error| unknown(error.to_string()))?,
+                    headers,
+                    status,
+                    flags,
+                })
+            }
+            SendOutcome::NotWritten(why) => Err(SendFailure {
+                why,
+                written: false,
+            }),
+            SendOutcome::Unknown(why) => Err(unknown(why)),
+        }
+    };
+    let whole = timeout(limit, read).await;
+    whole.unwrap_or_else(|_| Err(unknown("response incomplete at the time limit".to_string())))
+}
+
+/// Decides whether a response goes to the caller, is retried or fails the request.
+fn classify(
+    shared: &Shared,
+    ticket: &Ticket,
+    progress: &mut Progress,
+    key: EndpointKey,
+    answer: BufferedAnswer,
+) -> Attempt {
+    let status = answer.status;
+    if answer.flags.not_run {
+        shared.mark_rejected(key, status);
+        progress.note_rejected(key, format!("rejected with {status}"));
+        return Attempt::Retry;
+    }
+    shared.record_answer(key, status.is_server_error());
+    let is_valid = answer.flags.sealed && !answer.flags.encoded;
+    let claims_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    if (status.is_success() && !is_valid) || claims_not_run {
+        progress.note_run(key, format!("invalid response with {status}"));
+        return after_failure(ticket, progress, true);
+    }
+    let retry = status.is_server_error()
+        && ticket.may_run_again(progress.runs + 1)
+        && progress.may_send(shared, ticket);
+    if retry {
+        progress.note_run(key, format!("failed with {status}"));
+        progress.failure = Some(reply::whole(status, answer.headers, answer.body));
+        return Attempt::Retry;
+    }
+    Attempt::Answered(reply::whole(status, answer.headers, answer.body))
+}
+
+/// Decides whether a failed send may be retried.
+fn after_failure(ticket: &Ticket, progress: &Progress, written: bool) -> Attempt {
+    let is_expired = clock::now() >= ticket.expires;
+    match (written, is_expired) {
+        (_, true) => Attempt::Failed(Refusal::TimedOut),
+        (false, false) => Attempt::Retry,
+        (true, false) if ticket.may_run_again(progress.runs) => Attempt::Retry,
+        (true, false) => Attempt::Failed(Refusal::Broken),
+    }
+}
+
+/// Waits for an endpoint with room and returns it with the endpoint for its backup copy;
+/// `None` if there was none by `deadline`.
+pub async fn acquire_endpoint(
+    shared: &Rc<Shared>,
+    ticket: &Ticket,
+    need: Need,
+    tried: &[EndpointKey],
+    deadline: Time,
+) -> Option<(EndpointKey, Option<EndpointKey>)> {
+    let mut waiting = None::<QueueSlot>;
+    loop {
+        let room = shared.room.notified();
+        let preceded = waiting.as_ref().is_some_and(QueueSlot::is_preceded);
+        if !preceded && need.prompt > 0 {
+            gossip::report::refresh(shared).await;
+        }
+        let now = clock::now();
+        if !preceded {
+            let pick = shared
+                .state
+                .borrow_mut()
+                .pick(now, &ticket.service, need, tried);
+            if let Pick::Send(key, backup) = pick {
+                return Some((key, backup));
+            }
+        }
+        if now >= deadline {
+            return None;
+        }
+        waiting.get_or_insert_with(|| QueueSlot::new(shared, ticket));
+        // Room can also appear without a notification, when the backoff after a failure ends.
+        let pause = deadline.since(now).min(ROOM_POLL_INTERVAL);
+        let _announced = timeout(pause, room).await;
+    }
+}
+
+/// How often a queued request checks for room without a notification.
+const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow the store's topics, by reading it or by what a fellow reads.
+//! Tasks that follow the store's topics, by reading the store or through peers that read it.
 
 use {
     crate::{
@@ -15,140 +15,140 @@
     rand::RngExt as _,
 };
 
-/// Time that the store holds a read open when nothing is new. Knowledge is as old as the
-/// sending of the last read that returned, so on a quiet day its age swings between one
-/// and two of these.
-const HOLD: Duration = Duration::from_millis(450);
+/// Long poll timeout of a read. Data is as old as the sending of the last completed read, so
+/// without changes its age varies between one and two timeouts.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// The same for the list of instances, whose age bounds nothing.
-const HOLD_INSTANCES: Duration = Duration::from_secs(12);
+/// Long poll timeout for the list of instances, whose age does not matter for requests.
+const INSTANCES_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Pause between two reads. Changes come a few a second, and each read is a call that
-/// counts; a pause takes several changes into one.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Delay between two reads, so that one read returns several changes.
+const READ_DELAY: Duration = Duration::from_millis(60);
 
-/// The same for the list of instances, where there are many.
-const PAUSE_INSTANCES: Duration = Duration::from_millis(800);
+/// Delay between two reads of the list of instances where there are many of them.
+const INSTANCES_READ_DELAY: Duration = Duration::from_millis(800);
 
-/// Pause between two reads of one of many instances that hears no other: until they have
-/// found each other, all of them read.
-const PAUSE_ALONE: Duration = Duration::from_millis(400);
+/// Delay between two reads of an instance among many that receives nothing from peers. All
+/// of them read until they have found each other.
+const ISOLATED_READ_DELAY: Duration = Duration::from_millis(400);
 
-/// Shortest and longest pause after a failed call, drawn anew each time so that instances
-/// do not call in step.
-const RETRY: (u64, u64) = (40, 240);
+/// Range of the random delay after a failed call; random, so that instances do not retry in
+/// step.
+const RETRY_DELAY_RANGE_MS: (u64, u64) = (40, 240);
 
-/// Failures after each of which the pause doubles, for all but the reader of a topic: it
-/// tells the others as soon as the store is back, so that they need not ask as often.
-const DOUBLINGS: u32 = 2;
+/// Limit of doublings of the retry delay. The reader of a topic does not back off: it notifies
+/// the others as soon as the store is back.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// The same for a member that hears an aggregator.
-const DOUBLINGS_OF_MEMBER: u32 = 4;
+/// Limit of doublings for a member that is connected to an aggregator.
+const MEMBER_MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Age of the list of instances up to which a member that hears no aggregator is content; the
-/// entries that it knows may be those of processes that are gone.
-const ENOUGH_UNLINKED: Duration = Duration::from_secs(2);
+/// Age from which a member without an aggregator reads the list of instances itself; the
+/// entries that it knows may belong to processes that have ended.
+const UNLINKED_MAX_INSTANCE_LIST_AGE: Duration = Duration::from_secs(2);
 
-/// Time that the first read of the list of instances waits, so that instances which start
-/// together find each other by one read.
-const PUBLISHING: (u64, u64) = (400, 600);
+/// Range of the delay before the first read of the list of instances, so that instances that
+/// start together find each other with one read.
+const FIRST_READ_DELAY_RANGE_MS: (u64, u64) = (400, 600);
 
-/// Most that members wait longer than others before they read for themselves, each another
-/// time: where the store turns everybody away hundreds of them would ask it at once.
-const PATIENCE_MS: u64 = 1000;
+/// Limit of the extra age that members accept before they read the store themselves. It
+/// differs between them, so that they do not all call a failing store at once.
+const MEMBER_JITTER_MS: u64 = 1000;
 
-/// How often an instance that does not read looks whether it has to.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often an instance that does not read a topic checks whether it has to.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time that a request waits for a read that was wanted on its behalf.
-const VERIFY: Duration = Duration::from_millis(400);
+/// Limit for which a request waits for a read on its behalf.
+const VERIFY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often doubts of the endpoint list are looked at.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval of the timer that drives time-dependent state.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Lateness of the loop from which on it is logged; half of the time after which an event
-/// that is passed on counts as late.
-const STALL: Duration = Duration::from_millis(60);
+/// Lateness of the event loop above which it is logged.
+const STALL_THRESHOLD: Duration = Duration::from_millis(60);
 
-/// Follows a topic for ever.
+/// Follows a topic; never returns.
 pub async fn follow(shared: Rc<Shared>, topic: Topic) {
-    let progress = shared.topic(topic);
-    progress.reached.set(true);
+    let topic_state = shared.topic(topic);
+    topic_state.reachable.set(true);
     if topic == Topic::Instances {
-        let pause = rand::rng().random_range(PUBLISHING.0..PUBLISHING.1);
-        sleep(Duration::from_millis(pause)).await;
+        let read_delay =
+            rand::rng().random_range(FIRST_READ_DELAY_RANGE_MS.0..FIRST_READ_DELAY_RANGE_MS.1);
+        sleep(Duration::from_millis(read_delay)).await;
     }
-    let mut proof_wanted = true;
+    let mut confirmation_wanted = true;
     let mut failures = 0;
     loop {
         let cause = match cause(&shared, topic) {
             Some(cause) => cause,
-            None if proof_wanted => Cause::Wanted,
+            None if confirmation_wanted => Cause::Wanted,
             None => {
-                let wanted = timeout(LOOK, progress.wanted.notified()).await;
-                proof_wanted = wanted.is_ok();
+                let wanted = timeout(POLL_INTERVAL, topic_state.read_wanted.notified()).await;
+                confirmation_wanted = wanted.is_ok();
                 continue;
             }
         };
         if cause != Cause::Reader {
             log::info!(
-                topic:?, cause = cause.label(), position:? = progress.position.get(),
-                age_ms:? = progress.freshness.get().age(clock::now()).map(|age| age.as_millis());
-                "reads the store itself"
+                topic:?, cause = cause.label(), position:? = topic_state.position.get(),
+                age_ms:? = topic_state.freshness.get().age(clock::now()).map(|age| age.as_millis());
+                "reading the store directly"
             );
         }
-        let result = match progress.position.get() {
-            None => start(&shared, topic, None).await,
+        let result = match topic_state.position.get() {
+            None => read_newest(&shared, topic, None).await,
             Some(from) => {
-                // The store answers at once where the answer is waited for.
+                // No long poll where something waits for the result.
                 let member = gossip::role(&shared) == Role::Member;
-                let hold = if proof_wanted || (member && topic != Topic::Instances) {
-                    Duration::ZERO
-                } else {
-                    hold(topic)
-                };
-                go_on(&shared, topic, from, hold, cause).await
+                let long_poll_timeout =
+                    if confirmation_wanted || (member && topic != Topic::Instances) {
+                        Duration::ZERO
+                    } else {
+                        long_poll_timeout(topic)
+                    };
+                read_tail(&shared, topic, from, long_poll_timeout, cause).await
             }
         };
         match result {
             Ok(next) => {
                 failures = 0;
-                if !progress.reached.replace(true) {
-                    log::info!(topic:?; "store regained");
+                if !topic_state.reachable.replace(true) {
+                    log::info!(topic:?; "store reachable again");
                 }
-                proof_wanted = progress.position.get().is_none();
-                progress.position.set(Some(next));
-                progress.read.notify_waiters();
-                if !proof_wanted {
-                    sleep(pause(&shared, topic)).await;
+                confirmation_wanted = topic_state.position.get().is_none();
+                topic_state.position.set(Some(next));
+                topic_state.read_done.notify_waiters();
+                if !confirmation_wanted {
+                    sleep(read_delay(&shared, topic)).await;
                 }
             }
             Err(error) => {
-                shared.meters.store_called("failed");
-                if progress.reached.replace(false) {
-                    log::warn!(topic:?, error:%; "store lost");
+                shared.metrics.record_store_call("failed");
+                if topic_state.reachable.replace(false) {
+                    log::warn!(topic:?, error:%; "store unreachable");
                 }
-                // Words of a fellow may do until the next try; if not, there is a cause.
-                proof_wanted = false;
-                progress.read.notify_waiters();
-                let pause = rand::rng().random_range(RETRY.0..RETRY.1);
+                // Data from peers may suffice until the next attempt; if not, `cause` says so.
+                confirmation_wanted = false;
+                topic_state.read_done.notify_waiters();
+                let read_delay =
+                    rand::rng().random_range(RETRY_DELAY_RANGE_MS.0..RETRY_DELAY_RANGE_MS.1);
                 let doublings = if cause == Cause::Reader { 0 } else { failures };
-                failures = (failures + 1).min(most_doublings(&shared));
-                sleep(Duration::from_millis(pause << doublings)).await;
+                failures = (failures + 1).min(max_doublings(&shared));
+                sleep(Duration::from_millis(read_delay << doublings)).await;
             }
         }
     }
 }
 
-fn most_doublings(shared: &Shared) -> u32 {
+fn max_doublings(shared: &Shared) -> u32 {
     let linked = shared.readers.borrow().has_aggregator(clock::now());
     if linked && gossip::role(shared) == Role::Member {
-        return DOUBLINGS_OF_MEMBER;
+        return MEMBER_MAX_BACKOFF_DOUBLINGS;
     }
-    DOUBLINGS
+    MAX_BACKOFF_DOUBLINGS
 }
 
-/// Why this instance has to read a topic itself, if it has to.
+/// Why this instance has to read a topic from the store, if it has to.
 fn cause(shared: &Shared, topic: Topic) -> Option<Cause> {
     if shared.topic(topic).position.get().is_none() {
         return Some(Cause::Start);
@@ -157,126 +157,129 @@
     shared.readers.borrow_mut().must_read(own, clock::now())
 }
 
-/// What this instance knows of a topic itself.
+/// This instance's own state of a topic.
 pub fn own(shared: &Shared, topic: Topic) -> LocalTopic<'_> {
-    let progress = shared.topic(topic);
+    let topic_state = shared.topic(topic);
     let role = gossip::role(shared);
     let linked = shared.readers.borrow().has_aggregator(clock::now());
     let max_age = match topic {
-        Topic::Instances if role == Role::Member && !linked => ENOUGH_UNLINKED,
+        Topic::Instances if role == Role::Member && !linked => UNLINKED_MAX_INSTANCE_LIST_AGE,
         Topic::Instances => MAX_INSTANCE_LIST_AGE,
         Topic::Endpoints | Topic::Operators if role == Role::Member && linked => {
-            MAX_WATERMARK_AGE + Duration::from_millis(shared.life % PATIENCE_MS)
+            MAX_WATERMARK_AGE + Duration::from_millis(shared.incarnation % MEMBER_JITTER_MS)
         }
         Topic::Endpoints | Topic::Operators => MAX_WATERMARK_AGE,
     };
     LocalTopic {
         max_age,
-        freshness: progress.freshness.get(),
+        freshness: topic_state.freshness.get(),
         name: &shared.settings.instance.name,
-        position: progress.position.get().unwrap_or_default(),
+        position: topic_state.position.get().unwrap_or_default(),
         role,
         topic: topic::index(topic),
     }
 }
 
-const fn hold(topic: Topic) -> Duration {
+const fn long_poll_timeout(topic: Topic) -> Duration {
     match topic {
-        Topic::Instances => HOLD_INSTANCES,
-        Topic::Endpoints | Topic::Operators => HOLD,
+        Topic::Instances => INSTANCES_LONG_POLL_TIMEOUT,
+        Topic::Endpoints | Topic::Operators => LONG_POLL_TIMEOUT,
     }
 }
 
-/// Pause after a read. All instances publish themselves when a deployment starts, and a
-/// read for each of them by each of them would be thousands of calls.
-/// Among few, a new instance is to be heard at once.
-fn pause(shared: &Shared, topic: Topic) -> Duration {
+/// Delay after a read. All instances publish themselves when a deployment starts; without the
+/// delay each of many would read once for each other one. Among few, a new instance should be
+/// found at once.
+fn read_delay(shared: &Shared, topic: Topic) -> Duration {
     let many = gossip::role(shared) != Role::Equal;
     match topic {
-        Topic::Instances if many => PAUSE_INSTANCES,
-        _ if many && shared.readers.borrow().is_isolated(clock::now()) => PAUSE_ALONE,
-        Topic::Endpoints | Topic::Instances | Topic::Operators => PAUSE,
+        Topic::Instances if many => INSTANCES_READ_DELAY,
+        _ if many && shared.readers.borrow().is_isolated(clock::now()) => ISOLATED_READ_DELAY,
+        Topic::Endpoints | Topic::Instances | Topic::Operators => READ_DELAY,
     }
 }
 
-/// Reads the newest record of each key; returns the offset to go on from.
-async fn start(
+/// Reads the newest record of each key; returns the offset to continue from.
+async fn read_newest(
     shared: &Rc<Shared>,
     topic: Topic,
     known: Option<u64>,
 ) -> Result<u64, platform::Error> {
     let newest = shared.store.newest(topic).await?;
-    shared.meters.store_called("newest");
+    shared.metrics.record_store_call("newest");
     if known.is_some_and(|known| newest.end < known) {
-        // The store is behind what was read from it before; nothing is taken back.
+        // The store has lost records that were read before; keep what is known.
         return Err(platform::Error::Malformed(format!(
             "newest records end at {}",
             newest.end
         )));
     }
-    apply::all(shared, topic, &newest.records);
+    apply::snapshot(shared, topic, &newest.records);
     Ok(newest.end)
 }
 
-/// Reads on; returns the offset to go on from.
-async fn go_on(
+/// Reads records from an offset on; returns the offset to continue from.
+async fn read_tail(
     shared: &Rc<Shared>,
     topic: Topic,
     from: u64,
-    hold: Duration,
+    long_poll_timeout: Duration,
     cause: Cause,
 ) -> Result<u64, platform::Error> {
-    let asked = clock::now();
-    let tail = match shared.store.read(topic, from, hold).await {
+    let sent_at = clock::now();
+    let tail = match shared.store.read(topic, from, long_poll_timeout).await {
         Err(platform::Error::Expired(first)) => {
-            log::warn!(topic:?, from, first; "history is gone");
-            return start(shared, topic, Some(from)).await;
+            log::warn!(
+                topic:?, from, first;
+                "requested offset is no longer in the store; reading newest records"
+            );
+            return read_newest(shared, topic, Some(from)).await;
         }
         tail => tail?,
     };
-    shared.meters.store_called("read");
+    shared.metrics.record_store_call("read");
     let known = shared.topic(topic).position.get();
-    let reached = take(shared, topic, from, &tail.records).max(tail.next);
-    // Where many read for themselves, as when the store comes back, those to whom a fellow
-    // has passed the records on meanwhile do not do so again; the links would be full of them.
-    let news = !tail.records.is_empty() && known.is_none_or(|known| known < reached);
+    let reached = apply_records(shared, topic, from, &tail.records).max(tail.next);
+    // When many instances read at once, as after a store outage, only those whose peers have
+    // not relayed the records meanwhile relay them; otherwise copies would fill the network.
+    let has_news = !tail.records.is_empty() && known.is_none_or(|known| known < reached);
     let own = own(shared, topic);
-    if news && shared.readers.borrow().should_relay(cause, own, asked) {
-        records::pass_on(shared, topic, from, &tail.records);
+    if has_news && shared.readers.borrow().should_relay(cause, own, sent_at) {
+        records::relay(shared, topic, from, &tail.records);
     }
     if reached >= tail.end {
-        prove(shared, topic, asked);
+        prove(shared, topic, sent_at);
     }
     Ok(reached)
 }
 
-/// Takes records from an offset on in, apart from those that are known already; returns
-/// the offset after the last one known.
-pub fn take(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) -> u64 {
-    let progress = shared.topic(topic);
-    let mut position = progress.position.get().unwrap_or(from);
+/// Applies records that start at an offset, skipping those already known; returns the offset
+/// after the last known one.
+pub fn apply_records(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) -> u64 {
+    let topic_state = shared.topic(topic);
+    let mut position = topic_state.position.get().unwrap_or(from);
     if from > position {
-        // Records in between are missing; they are read from the store.
+        // Records in between are missing and will be read from the store.
         return position;
     }
-    records::keep(shared, topic, from, records);
+    records::retain_history(shared, topic, from, records);
     for record in records {
         if record.offset >= position {
-            apply::one(shared, topic, record);
+            apply::update(shared, topic, record);
             position = record.offset + 1;
         }
     }
-    progress.position.set(Some(position));
+    topic_state.position.set(Some(position));
     shared.room.notify_waiters();
     position
 }
 
-/// Knowledge of a topic was complete at `when`.
+/// Records that this instance's data of a topic was complete at `when`.
 pub fn prove(shared: &Shared, topic: Topic, when: Time) {
-    let progress = shared.topic(topic);
-    let mut freshness = progress.freshness.get();
+    let topic_state = shared.topic(topic);
+    let mut freshness = topic_state.freshness.get();
     freshness.confirm(when);
-    progress.freshness.set(freshness);
+    topic_state.freshness.set(freshness);
     let mut state = shared.state.borrow_mut();
     match topic {
         Topic::Endpoints => state.confirm_list(clock::now(), when),
@@ -285,37 +288,39 @@
     }
 }
 
-/// Has the configuration read at once, for a request that it would otherwise be too old
-/// for; requests that come meanwhile share the read. Nothing is tried while the store is
-/// known to be lost.
+/// Requests an immediate read of the configuration for a request for which it is too old, and
+/// waits for it. Concurrent requests share the read. Returns at once while the store is known
+/// to be unreachable.
 pub async fn verify(shared: &Shared) {
-    let progress = shared.topic(Topic::Operators);
-    if !progress.reached.get() {
+    let topic_state = shared.topic(Topic::Operators);
+    if !topic_state.reachable.get() {
         return;
     }
-    if progress.position.get().is_none() {
-        // The first read is under way.
-        let _known = timeout(VERIFY, progress.read.notified()).await;
+    if topic_state.position.get().is_none() {
+        // The first read is in progress.
+        let _known = timeout(VERIFY_TIMEOUT, topic_state.read_done.notified()).await;
     }
-    let read = progress.read.notified();
-    progress.wanted.notify_one();
-    let _answered = timeout(VERIFY, read).await;
+    let read = topic_state.read_done.notified();
+    topic_state.read_wanted.notify_one();
+    let _answered = timeout(VERIFY_TIMEOUT, read).await;
 }
 
-/// Settles what time alone settles, and notes when the loop came late.
+/// Advances time-dependent state, and measures how late the event loop runs.
 ///
-/// One slow turn stalls every stream of the instance; callers then get events long after
-/// an engine made them, and nothing else would show why.
+/// A slow iteration delays every stream of the instance, and nothing else would show why.
 pub async fn tick(shared: Rc<Shared>) {
     loop {
-        let began = clock::now();
-        sleep(TICK).await;
+        let started_at = clock::now();
+        sleep(TICK_INTERVAL).await;
         let now = clock::now();
         shared.state.borrow_mut().tick(now);
-        let late = now.since(began).saturating_sub(TICK);
-        shared.meters.looped(late);
-        if late > STALL {
-            log::warn!(late_ms = late.as_millis(), in_progress = shared.in_progress.get(); "loop stalled");
+        let late = now.since(started_at).saturating_sub(TICK_INTERVAL);
+        shared.metrics.record_loop_lateness(late);
+        if late > STALL_THRESHOLD {
+            log::warn!(
+                late_ms = late.as_millis(), in_progress = shared.in_progress.get();
+                "event loop stalled"
+            );
         }
     }
 }
--- a/crates/proxy/src/gossip/mod.rs
+++ b/crates/proxy/src/gossip/mod.rs
@@ -1,49 +1,50 @@
-//! Words between instances: load, the age of knowledge, and records that were read.
+//! Gossip between instances: load, watermarks, and records read from the store.
 //!
-//! * [`entry`]: how an instance makes itself known in the store;
-//! * [`links`]: to whom it keeps connections;
-//! * [`tell`]: what it says, and how often;
-//! * [`hear`]: what it takes from the words of others;
-//! * [`records`]: how records of the store travel, and [`history`], what is kept of them.
+//! * [`registration`]: the instance's entry in the store;
+//! * [`connections`]: connections to peers;
+//! * [`report`]: sending reports, sums and answers;
+//! * [`receive`]: handling messages of peers;
+//! * [`records`]: relaying records of the store, with [`history`] for those that are retained.
 //!
-//! Who says what to whom is decided in [`forward::aggregate`].
+//! [`forward::aggregate`] decides who sends what to whom.
 
-pub mod entry;
-pub mod hear;
+pub mod connections;
 pub mod history;
-pub mod links;
+pub mod receive;
 pub mod records;
-pub mod tell;
+pub mod registration;
+pub mod report;
 
 use {
     crate::prelude::*,
-    fellow::{
-        datagram::Datagrams,
+    forward::aggregate::members::Role,
+    peer::{
+        datagram::DatagramSocket,
         pinned::{self, Identity, Pins},
     },
-    forward::aggregate::members::Role,
     platform::instance::Entry,
     tokio::sync::mpsc,
 };
 
-/// Datagrams that wait to be read.
-const MOST_HEARD: usize = 256;
+/// Capacity of the queue of received messages.
+const RECEIVE_QUEUE_LENGTH: usize = 256;
 
-/// Publishes this instance, then tells fellows of its load and hears of theirs, for ever.
+/// Publishes this instance, and exchanges messages with peers; returns only if that cannot be
+/// set up.
 pub async fn run(shared: Rc<Shared>) {
-    let (heard, messages) = mpsc::channel(MOST_HEARD);
+    let (received, messages) = mpsc::channel(RECEIVE_QUEUE_LENGTH);
     let pins = Pins::default();
     let instance = &shared.settings.instance;
     let started = Identity::new().and_then(|identity| {
         let configs = pinned::configs(&identity, &pins)?;
-        let datagrams = Datagrams::listen(instance.fellows, configs, heard)?;
+        let datagrams = DatagramSocket::listen(instance.fellows, configs, received)?;
         let address = datagrams.address()?;
         Ok((identity, datagrams, address))
     });
     let (identity, datagrams, address) = match started {
         Ok(started) => started,
         Err(error) => {
-            log::error!(error:%; "no exchange with fellow instances");
+            log::error!(error:%; "cannot exchange messages with peer instances");
             return;
         }
     };
@@ -53,17 +54,17 @@
         fingerprint: identity.fingerprint,
         processor: instance.processor_thousandths(),
     };
-    shared.fellows.datagrams.replace(Some(datagrams.clone()));
+    shared.peers.datagrams.replace(Some(datagrams.clone()));
     tokio::join!(
-        entry::keep_published(&shared, &entry),
-        entry::drop_dead(&shared),
-        links::keep(&shared, &datagrams, &pins, address),
-        tell::run(&shared, &datagrams),
-        hear::run(&shared, &datagrams, messages),
+        registration::keep_published(&shared, &entry),
+        registration::drop_dead_entries(&shared),
+        connections::maintain(&shared, &datagrams, &pins, address),
+        report::run(&shared, &datagrams),
+        receive::run(&shared, &datagrams, messages),
     );
 }
 
-/// Part of this instance in what instances tell each other.
+/// Role of this instance in the gossip.
 #[must_use]
 pub fn role(shared: &Shared) -> Role {
     let state = shared.state.borrow();
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -1,7 +1,7 @@
-//! Listeners for callers, for the question of readiness, and for metrics.
+//! Listeners for callers, readiness checks and metrics.
 
 use {
-    crate::{clock, exchange::Original, follow, plain, prelude::*, reply, stream},
+    crate::{buffered, clock, exchange::Original, follow, prelude::*, reply, stream},
     forward::request::Ticket,
     http_body_util::{BodyExt as _, LengthLimitError, Limited},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
@@ -11,38 +11,38 @@
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Longest pause after a connection could not be accepted, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, such as one for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What answers on a listener.
+/// Purpose of a listener.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
     /// Requests of callers.
     Callers,
     /// Metrics, on any path.
     Metrics,
-    /// Whether callers may be sent here, on any path.
+    /// Readiness checks, on any path.
     Ready,
 }
 
-/// A request in progress, counted until it is dropped.
+/// Counts a request as in progress until dropped.
 #[derive(Debug)]
-pub struct Busy(Rc<Shared>);
+pub struct RequestGuard(Rc<Shared>);
 
-impl Busy {
+impl RequestGuard {
     fn new(shared: &Rc<Shared>) -> Self {
         shared.in_progress.set(shared.in_progress.get() + 1);
         Self(Rc::clone(shared))
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.in_progress.set(self.0.in_progress.get() - 1);
     }
 }
 
-/// Accepts connections for ever.
+/// Accepts connections; never returns.
 pub async fn accept(shared: Rc<Shared>, listener: TcpListener, role: Role) {
     loop {
         match listener.accept().await {
@@ -50,8 +50,8 @@
                 tokio::task::spawn_local(connection(Rc::clone(&shared), stream, role));
             }
             Err(error) => {
-                log::warn!(error:%; "connection not accepted");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:%; "cannot accept connection");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -59,7 +59,7 @@
 
 async fn connection(shared: Rc<Shared>, stream: TcpStream, role: Role) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(error:%; "connection without nodelay");
+        log::debug!(error:%; "cannot set TCP_NODELAY");
     }
     let limits = {
         let state = shared.state.borrow();
@@ -70,11 +70,11 @@
     };
     let service = {
         let shared = Rc::clone(&shared);
-        service_fn(move |request| answer(Rc::clone(&shared), request, role))
+        service_fn(move |request| handle(Rc::clone(&shared), request, role))
     };
     let mut builder = http1::Builder::new();
-    // The library counts the time of a head from the end of the request before, so the
-    // bound for idle connections is the one to give.
+    // hyper counts the header timeout from the end of the previous request, so it has to be
+    // the idle timeout.
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
@@ -93,44 +93,44 @@
     }
 }
 
-async fn answer(
+async fn handle(
     shared: Rc<Shared>,
     request: Request<Incoming>,
     role: Role,
 ) -> Result<Reply, Infallible> {
     Ok(match role {
-        Role::Callers => caller(&shared, request).await,
+        Role::Callers => handle_caller(&shared, request).await,
         Role::Metrics => reply::whole(
             StatusCode::OK,
             http::HeaderMap::new(),
-            shared.meters.text().into(),
+            shared.metrics.render().into(),
         ),
         Role::Ready if ready(&shared) => reply::empty(StatusCode::OK),
         Role::Ready => reply::empty(StatusCode::SERVICE_UNAVAILABLE),
     })
 }
 
-/// Whether callers may be sent here.
+/// Whether the instance is ready for callers.
 fn ready(shared: &Shared) -> bool {
     let now = clock::now();
     let state = shared.state.borrow();
     !shared.draining.get() && state.ready(now)
 }
 
-async fn caller(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply {
+async fn handle_caller(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply {
     let arrived = clock::now();
-    let busy = Busy::new(shared);
+    let guard = RequestGuard::new(shared);
     let (parts, body) = request.into_parts();
-    // What follows a body in chunks on its connection may have been meant as part of it,
-    // if the sender also gave a length; the library keeps only one of the two.
+    // Against request smuggling: a chunked request may also have carried a content length,
+    // of which hyper drops one, so nothing after it on the connection can be trusted.
     let chunked = parts.headers.contains_key(http::header::TRANSFER_ENCODING);
     let (mut reply, id) = match head::inbound(&parts, arrived) {
         Ok(inbound) => {
             let id = inbound.id.clone();
-            (serve(shared, parts, inbound, body, busy).await, id)
+            (serve(shared, parts, inbound, body, guard).await, id)
         }
         Err(header) => {
-            log::info!(header; "request without a proper header");
+            log::info!(header; "invalid or missing request header");
             (reply::refusal(Refusal::Bad, ""), String::new())
         }
     };
@@ -142,9 +142,9 @@
     reply
 }
 
-/// What the log says of a request's route, once it is known.
+/// Route data for the log line of a request, once it is known.
 #[derive(Debug, Default)]
-struct RouteNote {
+struct RouteInfo {
     name: String,
     target: Duration,
 }
@@ -154,13 +154,13 @@
     parts: Parts,
     inbound: Inbound,
     body: Incoming,
-    busy: Busy,
+    guard: RequestGuard,
 ) -> Reply {
     let id = inbound.id.clone();
     let arrived = inbound.arrived;
     let path = inbound.path.clone();
-    let mut route = RouteNote::default();
-    let result = forward(shared, parts, inbound, body, busy, &mut route).await;
+    let mut route = RouteInfo::default();
+    let result = forward(shared, parts, inbound, body, guard, &mut route).await;
     let (outcome, reply, streaming) = match result {
         Ok(reply) => {
             let streaming = matches!(reply.body(), Body::Parts(_));
@@ -178,7 +178,7 @@
         ms = took.as_millis(), target_ms = route.target.as_millis(),
         config_age_ms = age.unwrap_or(Duration::MAX).as_millis(); "request ended"
     );
-    shared.meters.ended(&route.name, outcome, took);
+    shared.metrics.record_end(&route.name, outcome, took);
     reply
 }
 
@@ -187,10 +187,10 @@
     parts: Parts,
     inbound: Inbound,
     body: Incoming,
-    busy: Busy,
-    route: &mut RouteNote,
+    guard: RequestGuard,
+    route: &mut RouteInfo,
 ) -> Result<Reply, Refusal> {
-    let body = whole(shared, body).await?;
+    let body = read_body(shared, body).await?;
     let now = clock::now();
     let ticket = admit(shared, &inbound).await?;
     route.name.clone_from(&ticket.route.name);
@@ -206,13 +206,13 @@
         parts,
     };
     if ticket.route.kind == Kind::Stream {
-        return stream::serve(shared, &Rc::new(original), ticket, busy).await;
+        return stream::serve(shared, &Rc::new(original), ticket, guard).await;
     }
-    plain::serve(shared, &original, ticket).await
+    buffered::serve(shared, &original, ticket).await
 }
 
-/// Admits a request; if only the age of what is known stands against it, after a read that
-/// settles the matter.
+/// Admits a request. If it is refused only because the configuration is stale or missing,
+/// reads the configuration and tries once more.
 async fn admit(shared: &Shared, inbound: &Inbound) -> Result<Ticket, Refusal> {
     let first = shared.state.borrow_mut().admit(clock::now(), inbound);
     match first {
@@ -223,9 +223,9 @@
     shared.state.borrow_mut().admit(clock::now(), inbound)
 }
 
-/// Reads a body in whole, so that nothing of it can be taken for another request.
-async fn whole(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
-    let most = {
+/// Reads the whole body.
+async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
+    let max_bytes = {
         let state = shared.state.borrow();
         state
             .config()
@@ -233,11 +233,11 @@
             .unwrap_or_default()
             .body
     };
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Err(error) => {
-            log::info!(error:%; "body cannot be read");
+            log::info!(error:%; "cannot read request body");
             Err(Refusal::Bad)
         }
     }
--- a/crates/proxy/src/inquire.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking engines whether they leave, while the store does not say so.
+//! Probes that ask engines whether they are leaving, while the endpoint list may be stale.
 
 use {
     crate::{clock, prelude::*},
@@ -6,46 +6,46 @@
     tokio::task::spawn_local,
 };
 
-/// How often it is looked which engines are to be asked.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often due probes are looked for.
+const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer is waited for; it needs no place at the engine.
-const ANSWER_WAIT: Duration = Duration::from_millis(400);
+/// Limit for a response, which does not depend on room at the engine.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Answers list an engine's runs, some 60 bytes each.
-const MOST_ANSWER: usize = 1 << 18;
+/// Size limit of a response, which lists the engine's runs.
+const MAX_ANSWER_BYTES: usize = 1 << 18;
 
-/// Asks for ever.
+/// Sends probes; never returns.
 pub async fn run(shared: Rc<Shared>) {
     loop {
-        sleep(LOOK).await;
+        sleep(PROBE_POLL_INTERVAL).await;
         let due = shared.state.borrow_mut().due_probes(clock::now());
         for key in due {
-            spawn_local(ask(Rc::clone(&shared), key));
+            spawn_local(probe_engine(Rc::clone(&shared), key));
         }
     }
 }
 
-async fn ask(shared: Rc<Shared>, key: EndpointKey) {
-    let Some((address, endpoint)) = shared.target(key) else {
+async fn probe_engine(shared: Rc<Shared>, key: EndpointKey) {
+    let Some((address, endpoint)) = shared.endpoint_address(key) else {
         return;
     };
-    let asked = timeout(ANSWER_WAIT, answer(&shared, address));
+    let asked = timeout(ANSWER_TIMEOUT, answer(&shared, address));
     let answered = asked
         .await
-        .unwrap_or_else(|_| Err("no answer in time".to_string()));
+        .unwrap_or_else(|_| Err("no response within the time limit".to_string()));
     let age = shared.state.borrow().list_freshness.age(clock::now());
     let list_age_ms = age.unwrap_or(Duration::MAX).as_millis();
     match answered {
         Ok(false) => {}
         Ok(true) => {
-            log::info!(endpoint, list_age_ms; "engine says that it leaves");
+            log::info!(endpoint, list_age_ms; "probe: engine is leaving");
             if let Some(endpoint) = shared.state.borrow_mut().endpoint_mut(key) {
                 endpoint.mark_leaving(clock::now());
             }
         }
         Err(why) => {
-            log::info!(endpoint, list_age_ms, why; "engine did not say whether it leaves");
+            log::info!(endpoint, list_age_ms, why; "probe of engine failed");
             shared
                 .state
                 .borrow_mut()
@@ -59,7 +59,7 @@
     let answer = shared.client.send(&address.to_string(), request).await;
     let answer = answer.map_err(|error| error.to_string())?;
     let status = answer.status();
-    let body = answer.whole(MOST_ANSWER).await;
+    let body = answer.whole(MAX_ANSWER_BYTES).await;
     let body = body.map_err(|error| error.to_string())?;
     engine::leaves(status, &body).map_err(|error| error.to_string())
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,18 +1,18 @@
-//! Streams of events: from the first event to the end, across moves and lost engines.
+//! Event streams from the first event to the end, across moves and lost engines.
 
-mod loss;
+mod failover;
 
 use {
     crate::{
         clock,
         exchange::Original,
-        listen::Busy,
+        listen::RequestGuard,
         prelude::*,
         progress::Progress,
         relocate::Takeover,
         reply::Part,
-        shared::Running,
-        transfer::{Relocated, Source, Transfer},
+        shared::RunGuard,
+        takeover::{EventSource, TakeoverContext, TakeoverOutcome},
     },
     endpoint::sse,
     forward::{request::Ticket, sequence::Sequence},
@@ -20,79 +20,78 @@
     tokio::sync::mpsc,
 };
 
-/// Silence after which an engine is asked whether it still has the run. Events come some
-/// 30 ms apart, and pauses over 180 ms already count as late; a preempted run may pause
-/// longer, so the engine is asked before anything else is tried.
-const SILENCE: Duration = Duration::from_millis(600);
+/// Silence after which the engine is asked to stop the run. A preempted run may pause for
+/// long, so it is given up only after the engine has been asked.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Part of the longest pause that a route allows after which a stream goes on at the engine
-/// with its copy. When the way to an engine is cut without a reset, nothing is heard of it:
-/// events just stop. The other engine needs some 25 ms, so callers see no late event.
-const QUIET_SHARE: f64 = 0.5;
+/// Fraction of the route's longest allowed gap after which the engine with the backup copy
+/// takes the stream over. If the network drops packets without a reset, events just stop;
+/// taking over early avoids a late event.
+const QUIET_GAP_SHARE: f64 = 0.5;
 
-/// Longest pause between events where a route names none.
-const USUAL_GAP: Duration = Duration::from_millis(180);
+/// Longest allowed gap between events where the route sets none.
+const DEFAULT_MAX_GAP: Duration = Duration::from_millis(180);
 
-/// Longest time that a caller may take to read before it counts as gone.
-const SLOW_READER: Duration = Duration::from_secs(5);
+/// Time after which a caller that does not read counts as disconnected.
+const CALLER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A move in progress.
-type Moving = Pin<Box<dyn Future<Output = Relocated>>>;
+type PendingMove = Pin<Box<dyn Future<Output = TakeoverOutcome>>>;
 
-/// A stream on its way to the caller.
+/// Relays the events of one stream to its caller.
 #[derive(Debug)]
 pub struct Relay {
-    /// Whether the engine with the copy was asked in this silence.
-    asked_copy: bool,
-    busy: Option<Busy>,
-    first: Duration,
-    last_at: Time,
+    /// Whether the engine with the backup copy has been asked since the last event.
+    backup_asked: bool,
+    guard: Option<RequestGuard>,
+    first_event_delay: Duration,
+    last_event_at: Time,
     last_event: Rc<RefCell<Option<String>>>,
     longest_pause: Duration,
     next_move: Time,
     original: Rc<Original>,
-    /// Since when the engine is silent, counted anew after each attempt to go on elsewhere.
+    /// Since when the engine has been silent; reset after each attempt to resume elsewhere.
     quiet_since: Time,
     out: mpsc::Sender<Part>,
     progress: Progress,
-    running: Running,
+    running: RunGuard,
     sequence: Sequence,
     shared: Rc<Shared>,
-    source: Source,
+    source: EventSource,
     takeovers: u32,
     ticket: Ticket,
 }
 
-/// What a stream begins with.
+/// Initial state of a [`Relay`].
 #[derive(Debug)]
-pub struct Start {
-    /// Counts the request as in progress.
-    pub busy: Option<Busy>,
+pub struct RelayStart {
+    /// Counts the request as in progress until dropped.
+    pub guard: Option<RequestGuard>,
     /// The caller's request.
     pub original: Rc<Original>,
-    /// Where events go.
+    /// Channel to the caller's response body.
     pub out: mpsc::Sender<Part>,
-    /// What has come of the request so far.
+    /// Attempts made so far.
     pub progress: Progress,
     /// The run at its engine.
-    pub running: Running,
-    /// Where events come from.
-    pub source: Source,
+    pub running: RunGuard,
+    /// Source of the events.
+    pub source: EventSource,
     /// The request's ticket.
     pub ticket: Ticket,
 }
 
-/// What happened next.
+/// Next thing that happened to a stream.
 enum Step {
     CallerLeft,
     Events(Vec<Bytes>),
     Ended,
     Expired,
     Lost(String),
-    Moved(Relocated),
-    /// No event for a part of the pause that the route allows.
+    Moved(TakeoverOutcome),
+    /// No event for [`QUIET_GAP_SHARE`] of the gap that the route allows.
     Quiet,
-    /// No event for long.
+    /// No event for [`SILENCE_TIMEOUT`].
     Silent,
 }
 
@@ -116,25 +115,25 @@
 }
 
 impl Relay {
-    /// A stream whose first events are there.
+    /// A relay for a stream whose first events have been read.
     #[must_use]
-    pub fn new(shared: &Rc<Shared>, start: Start) -> Self {
+    pub fn new(shared: &Rc<Shared>, start: RelayStart) -> Self {
         let now = clock::now();
         let inbound = &start.original.inbound;
-        let behind = start.ticket.resume_after(inbound);
+        let resume_after = start.ticket.resume_after(inbound);
         Self {
-            asked_copy: false,
-            busy: start.busy,
-            first: now.since(inbound.arrived),
-            last_at: now,
-            last_event: Rc::new(RefCell::new(behind.map(str::to_string))),
+            backup_asked: false,
+            guard: start.guard,
+            first_event_delay: now.since(inbound.arrived),
+            last_event_at: now,
+            last_event: Rc::new(RefCell::new(resume_after.map(str::to_string))),
             longest_pause: Duration::ZERO,
             next_move: Time::default(),
             out: start.out,
             progress: start.progress,
             quiet_since: now,
             running: start.running,
-            sequence: Sequence::after(behind),
+            sequence: Sequence::after(resume_after),
             shared: Rc::clone(shared),
             source: start.source,
             takeovers: 0,
@@ -143,11 +142,11 @@
         }
     }
 
-    /// Passes events on until the end.
+    /// Relays events until the stream ends.
     pub async fn run(mut self, blocks: Vec<Bytes>, ended: bool) {
         let ending = self.relay(blocks, ended).await;
         if matches!(ending, Ending::Complete) && self.out.send(Part::End).await.is_err() {
-            log::debug!(id = self.original.inbound.id; "caller left at the end");
+            log::debug!(id = self.original.inbound.id; "caller disconnected at the end");
         }
         let took = clock::now().since(self.original.inbound.arrived);
         let why = match &ending {
@@ -157,15 +156,15 @@
         log::info!(
             id = self.original.inbound.id, route = self.ticket.route.name,
             outcome = ending.label(), why, events = self.sequence.count(),
-            takeovers = self.takeovers, first_ms = self.first.as_millis(),
+            takeovers = self.takeovers, first_ms = self.first_event_delay.as_millis(),
             target_ms = self.ticket.route.target.as_millis(),
-            gap_ms = self.ticket.route.gap.unwrap_or(USUAL_GAP).as_millis(),
+            gap_ms = self.ticket.route.gap.unwrap_or(DEFAULT_MAX_GAP).as_millis(),
             pause_ms = self.longest_pause.as_millis(), ms = took.as_millis(); "stream ended"
         );
         self.shared
-            .meters
-            .ended(&self.ticket.route.name, ending.label(), took);
-        drop(self.busy.take());
+            .metrics
+            .record_end(&self.ticket.route.name, ending.label(), took);
+        drop(self.guard.take());
     }
 
     async fn relay(&mut self, blocks: Vec<Bytes>, ended: bool) -> Ending {
@@ -175,77 +174,81 @@
         if ended {
             return Ending::Complete;
         }
-        let mut moving = None::<Moving>;
+        let mut pending_move = None::<PendingMove>;
         loop {
-            self.start_move(&mut moving);
-            let step = self.step(&mut moving).await;
-            let went_on = match step {
+            self.start_move(&mut pending_move);
+            let step = self.step(&mut pending_move).await;
+            let result = match step {
                 Step::CallerLeft => return Ending::CallerLeft,
                 Step::Ended => return Ending::Complete,
                 Step::Expired => return Ending::Expired,
                 Step::Events(blocks) => self.pass_on(blocks).await,
-                Step::Lost(why) => self.lost(moving.take(), &why).await,
+                Step::Lost(why) => self.lost(pending_move.take(), &why).await,
                 Step::Moved(moved) => {
-                    moving = None;
+                    pending_move = None;
                     self.moved(moved).await
                 }
                 Step::Quiet => {
-                    self.go_on_at_copy(&mut moving);
+                    self.take_over_at_backup(&mut pending_move);
                     Ok(())
                 }
                 Step::Silent => {
                     self.quiet_since = clock::now();
-                    if moving.is_some() {
+                    if pending_move.is_some() {
                         Ok(())
                     } else {
                         self.silent().await
                     }
                 }
             };
-            if let Err(ending) = went_on {
+            if let Err(ending) = result {
                 return ending;
             }
         }
     }
 
-    /// Begins to move the run if its engine is leaving.
-    fn start_move(&mut self, moving: &mut Option<Moving>) {
+    /// Starts to move the run if its engine is leaving.
+    fn start_move(&mut self, pending_move: &mut Option<PendingMove>) {
         let now = clock::now();
-        if moving.is_some() || now < self.next_move || !self.is_leaving() {
+        if pending_move.is_some() || now < self.next_move || !self.is_leaving() {
             return;
         }
         if self.backup_takeover().is_none() && self.ends_soon() {
-            // Its copy would take the link from runs that cannot end in time.
+            // Copying it would take bandwidth from runs that cannot end in time.
             return;
         }
         log::info!(id = self.original.inbound.id, events = self.sequence.count(); "move begins");
-        *moving = Some(Box::pin(self.transfer().relocate(self.backup_takeover())));
+        *pending_move = Some(Box::pin(
+            self.takeover_context().move_run(self.backup_takeover()),
+        ));
     }
 
-    /// Asks the engine with the copy to go on, as nothing comes from the run's own.
-    fn go_on_at_copy(&mut self, moving: &mut Option<Moving>) {
-        self.asked_copy = true;
-        if moving.is_some() {
+    /// Asks the engine with the backup copy to take over, since the run's own engine is quiet.
+    fn take_over_at_backup(&mut self, pending_move: &mut Option<PendingMove>) {
+        self.backup_asked = true;
+        if pending_move.is_some() {
             return;
         }
-        if let Some(takeover) = self.sound_takeover() {
-            *moving = Some(Box::pin(self.transfer().go_on(takeover, "quiet")));
+        if let Some(takeover) = self.healthy_takeover() {
+            *pending_move = Some(Box::pin(
+                self.takeover_context().take_over(takeover, "quiet"),
+            ));
         }
     }
 
-    /// The copy, if its engine is in good health.
-    fn sound_takeover(&self) -> Option<Takeover> {
-        let sound = {
+    /// The backup copy, if its engine is healthy.
+    fn healthy_takeover(&self) -> Option<Takeover> {
+        let healthy = {
             let state = self.shared.state.borrow();
             state.healthy_backup(clock::now(), self.running.key)
         };
         self.backup_takeover()
-            .filter(|takeover| Some(takeover.key) == sound)
+            .filter(|takeover| Some(takeover.key) == healthy)
     }
 
-    /// What a send to another engine needs, without the stream itself.
-    fn transfer(&self) -> Transfer {
-        Transfer {
+    /// The data that a takeover needs, without the stream itself.
+    fn takeover_context(&self) -> TakeoverContext {
+        TakeoverContext {
             last_event: Rc::clone(&self.last_event),
             original: Rc::clone(&self.original),
             run: self.running.key,
@@ -262,42 +265,44 @@
         self.shared.state.borrow().must_move(self.running.key)
     }
 
-    async fn step(&mut self, moving: &mut Option<Moving>) -> Step {
+    async fn step(&mut self, pending_move: &mut Option<PendingMove>) -> Step {
         let now = clock::now();
-        let left = self.ticket.expires.since(now);
-        if left.is_zero() {
+        let remaining = self.ticket.expires.since(now);
+        if remaining.is_zero() {
             return Step::Expired;
         }
-        let quiet = self.quiet().filter(|_| !self.asked_copy);
-        let until = self.quiet_since.after(quiet.unwrap_or(SILENCE));
-        let wait = left.min(until.since(now));
+        let quiet_timeout = self.quiet_timeout().filter(|_| !self.backup_asked);
+        let until = self
+            .quiet_since
+            .after(quiet_timeout.unwrap_or(SILENCE_TIMEOUT));
+        let wait = remaining.min(until.since(now));
         tokio::select! {
             biased;
             () = self.out.closed() => Step::CallerLeft,
             part = self.source.answer.part() => self.events(part),
-            moved = ended(moving) => Step::Moved(moved),
-            () = sleep(wait) => match quiet {
-                _ if wait == left => Step::Expired,
+            moved = ended(pending_move) => Step::Moved(moved),
+            () = sleep(wait) => match quiet_timeout {
+                _ if wait == remaining => Step::Expired,
                 Some(_) => Step::Quiet,
                 None => Step::Silent,
             },
         }
     }
 
-    /// Silence after which the engine with the copy is asked.
-    fn quiet(&self) -> Option<Duration> {
-        let gap = self.ticket.route.gap.unwrap_or(USUAL_GAP);
-        Some(gap.mul_f64(QUIET_SHARE)).filter(|quiet| *quiet < SILENCE)
+    /// Silence after which the engine with the backup copy is asked to take over.
+    fn quiet_timeout(&self) -> Option<Duration> {
+        let gap = self.ticket.route.gap.unwrap_or(DEFAULT_MAX_GAP);
+        Some(gap.mul_f64(QUIET_GAP_SHARE)).filter(|quiet_timeout| *quiet_timeout < SILENCE_TIMEOUT)
     }
 
     fn events(&mut self, part: Result<Option<Bytes>, endpoint::Error>) -> Step {
         match part {
             Err(error) => Step::Lost(error.to_string()),
-            Ok(None) if self.source.cutter.unfinished() => {
-                Step::Lost("ended inside an event".to_string())
+            Ok(None) if self.source.splitter.unfinished() => {
+                Step::Lost("connection closed inside an event".to_string())
             }
             Ok(None) => Step::Ended,
-            Ok(Some(part)) => match self.source.cutter.feed(part) {
+            Ok(Some(part)) => match self.source.splitter.feed(part) {
                 Ok(blocks) => Step::Events(blocks),
                 Err(error) => Step::Lost(error.to_string()),
             },
@@ -312,7 +317,7 @@
             if self.sequence.has_gap() {
                 return Err(Ending::Lost("an event is missing".to_string()));
             }
-            let sent = timeout(SLOW_READER, self.out.send(Part::Data(block))).await;
+            let sent = timeout(CALLER_READ_TIMEOUT, self.out.send(Part::Data(block))).await;
             if !matches!(sent, Ok(Ok(()))) {
                 return Err(Ending::CallerLeft);
             }
@@ -321,9 +326,9 @@
             .replace(self.sequence.last().map(str::to_string));
         let now = clock::now();
         self.quiet_since = now;
-        self.asked_copy = false;
-        self.longest_pause = self.longest_pause.max(now.since(self.last_at));
-        self.last_at = now;
+        self.backup_asked = false;
+        self.longest_pause = self.longest_pause.max(now.since(self.last_event_at));
+        self.last_event_at = now;
         if let Some(run) = self.shared.state.borrow_mut().run_mut(self.running.key) {
             run.events = self.sequence.count();
         }
@@ -331,10 +336,10 @@
     }
 }
 
-/// The end of a move, if one is in progress.
-async fn ended(moving: &mut Option<Moving>) -> Relocated {
-    match moving {
-        Some(moving) => moving.await,
+/// Waits for the pending move; never returns if there is none.
+async fn ended(pending_move: &mut Option<PendingMove>) -> TakeoverOutcome {
+    match pending_move {
+        Some(pending_move) => pending_move.await,
         None => std::future::pending().await,
     }
 }
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,18 +1,17 @@
-//! What all tasks of an instance share; they run on one thread.
+//! State shared by all tasks of an instance, which run on one thread.
 
 use {
     crate::{
         clock,
         exchange::Original,
-        fellows::Fellows,
         gossip::history::History,
-        meters::Meters,
+        metrics::Metrics,
+        peers::Peers,
         prelude::*,
         settings::Settings,
-        topic::{self, Progress},
+        topic::{self, TopicState},
     },
     endpoint::Client,
-    fellow::datagram::Datagrams,
     forward::{
         State,
         aggregate::{
@@ -24,80 +23,80 @@
         request::Ticket,
         state::QueuePosition,
     },
+    peer::datagram::DatagramSocket,
     platform::{Store, store::Topic},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
     tokio::sync::Notify,
 };
 
-/// How long a connection may take to open. The way to an endpoint takes milliseconds; one
-/// without power does not answer at all.
-const CONNECT: Duration = Duration::from_millis(250);
+/// Limit for opening a connection to an endpoint or the store.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What all tasks of an instance share.
+/// State shared by all tasks of an instance.
 #[derive(Debug)]
 pub struct Shared {
     /// Connections to endpoints and the store.
     pub client: Client,
-    /// Whether the instance was told to stop.
+    /// Whether the instance is shutting down.
     pub draining: Cell<bool>,
     /// Other instances.
-    pub fellows: Fellows,
+    pub peers: Peers,
     /// Requests in progress.
     pub in_progress: Cell<usize>,
     /// Endpoints at which the load of the own failure domain has grown since the last sum,
     /// by digest.
     pub grown: RefCell<Vec<u32>>,
-    /// Records for members that lack some, for each topic.
+    /// Recent records of each topic, for members that lack some.
     pub history: [RefCell<History>; TOPICS],
-    /// Sets this life of the instance apart from earlier ones; never zero.
-    pub life: u64,
-    /// Signalled when the load of this instance has changed.
+    /// Random number that identifies this run of the process; never zero.
+    pub incarnation: u64,
+    /// Notified when the load of this instance has changed.
     pub load: Notify,
     /// Counters and histograms.
-    pub meters: Meters,
-    /// What fellows say of their knowledge.
+    pub metrics: Metrics,
+    /// Watermarks of peers.
     pub readers: RefCell<Readers>,
-    /// Signalled when this instance has to publish itself again.
+    /// Notified when this instance has to publish its entry again.
     pub republish: Notify,
-    /// Signalled when an endpoint may have room again.
+    /// Notified when an endpoint may have room again.
     pub room: Notify,
-    /// Signalled when a report cannot wait: a generation has begun, or a choice needs an
+    /// Notified when a report is due at once: a run has started, or a placement needs an
     /// aggregator's newest rows.
     pub report_now: Notify,
-    /// Part in the exchange of load, as of the last look.
+    /// Role in the gossip as of the last check.
     role: Cell<Role>,
     /// Settings at the start.
     pub settings: Settings,
-    /// What the instance knows.
+    /// State that decisions are based on.
     pub state: RefCell<State>,
-    /// Signalled when idle connections are to be closed.
+    /// Notified when idle connections are to be closed.
     pub stop: Notify,
     /// Client of the store.
     pub store: Store,
-    /// Signalled when an aggregator has answered.
-    pub told: Notify,
-    /// How far each topic of the store is known.
-    topics: [Progress; TOPICS],
+    /// Notified when an aggregator has sent rows.
+    pub rows_received: Notify,
+    /// Read progress of each topic.
+    topics: [TopicState; TOPICS],
 }
 
 impl Shared {
-    /// Sets everything up.
+    /// Creates the shared state.
     ///
     /// # Errors
     ///
     /// The metrics cannot be set up.
     pub fn new(settings: Settings) -> Result<Rc<Self>, Error> {
-        let client = Client::new(CONNECT);
+        let client = Client::new(CONNECT_TIMEOUT);
         let random = SmallRng::from_rng(&mut rand::rng());
         Ok(Rc::new(Self {
             draining: Cell::new(false),
-            fellows: Fellows::default(),
+            peers: Peers::default(),
             grown: RefCell::default(),
             history: Default::default(),
             in_progress: Cell::new(0),
-            life: rand::rng().random_range(1..=u64::MAX),
+            incarnation: rand::rng().random_range(1..=u64::MAX),
             load: Notify::new(),
-            meters: Meters::new()?,
+            metrics: Metrics::new()?,
             readers: RefCell::default(),
             republish: Notify::new(),
             room: Notify::new(),
@@ -106,68 +105,68 @@
             state: RefCell::new(State::new(settings.decisions(), random)),
             stop: Notify::new(),
             store: Store::new(settings.store.address.to_string(), client.clone()),
-            told: Notify::new(),
+            rows_received: Notify::new(),
             topics: Default::default(),
             client,
             settings,
         }))
     }
 
-    /// How far a topic is known.
+    /// Read progress of a topic.
     #[must_use]
-    pub const fn topic(&self, topic: Topic) -> &Progress {
+    pub const fn topic(&self, topic: Topic) -> &TopicState {
         &self.topics[topic::index(topic)]
     }
 
     /// Address and id of an endpoint.
     #[must_use]
-    pub fn target(&self, key: EndpointKey) -> Option<(SocketAddr, String)> {
+    pub fn endpoint_address(&self, key: EndpointKey) -> Option<(SocketAddr, String)> {
         let state = self.state.borrow();
         let listing = &state.endpoint(key)?.listing;
         Some((listing.address, listing.id.clone()))
     }
 
-    /// Notes that an endpoint could not be reached.
-    pub fn unreachable(&self, key: EndpointKey) {
+    /// Marks an endpoint as unreachable.
+    pub fn mark_unreachable(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.mark_unreachable(clock::now());
         }
     }
 }
 
-/// A place in the queue, left when it is dropped.
+/// A request's position in the queue, released on drop.
 #[derive(Debug)]
-pub struct Waiting {
-    place: QueuePosition,
+pub struct QueueSlot {
+    position: QueuePosition,
     shared: Rc<Shared>,
 }
 
-impl Waiting {
-    /// Takes a place.
+impl QueueSlot {
+    /// Enters the queue.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, ticket: &forward::request::Ticket) -> Self {
-        let place = shared.state.borrow_mut().enqueue(ticket);
+        let position = shared.state.borrow_mut().enqueue(ticket);
         Self {
-            place,
+            position,
             shared: Rc::clone(shared),
         }
     }
 
-    /// Whether another request comes first.
+    /// Whether another request goes first.
     #[must_use]
-    pub fn passed_over(&self) -> bool {
-        self.shared.state.borrow().is_preceded(&self.place)
+    pub fn is_preceded(&self) -> bool {
+        self.shared.state.borrow().is_preceded(&self.position)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueueSlot {
     fn drop(&mut self) {
-        self.shared.state.borrow_mut().dequeue(&self.place);
+        self.shared.state.borrow_mut().dequeue(&self.position);
         self.shared.room.notify_waiters();
     }
 }
 
-/// A plain request at an endpoint, counted until it is dropped.
+/// Counts a buffered request at an endpoint until dropped.
 #[derive(Debug)]
 pub struct InFlight {
     key: EndpointKey,
@@ -175,7 +174,7 @@
 }
 
 impl InFlight {
-    /// Counts a request.
+    /// Starts to count a request.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, key: EndpointKey) -> Self {
         if let Some(endpoint) = shared.state.borrow_mut().endpoint_mut(key) {
@@ -197,16 +196,16 @@
     }
 }
 
-/// A generation in progress, forgotten when it is dropped.
+/// A run in progress, removed on drop.
 #[derive(Debug)]
-pub struct Running {
-    /// Key of the generation.
+pub struct RunGuard {
+    /// Key of the run.
     pub key: RunKey,
     shared: Rc<Shared>,
 }
 
-impl Running {
-    /// Notes a generation.
+impl RunGuard {
+    /// Registers a run.
     #[must_use]
     pub fn new(shared: &Rc<Shared>, run: forward::prelude::Run) -> Self {
         let key = shared.state.borrow_mut().begin(run);
@@ -219,7 +218,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.shared.state.borrow_mut().end(self.key);
         self.shared.load.notify_one();
@@ -228,28 +227,28 @@
 }
 
 impl Shared {
-    /// An endpoint answered, well or with a failure of its own.
-    pub fn answered(&self, key: EndpointKey, failed: bool) {
+    /// Records an endpoint's response; `failed` if it was an error of the endpoint.
+    pub fn record_answer(&self, key: EndpointKey, failed: bool) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.record_answer(failed);
         }
     }
 
-    /// Counts a send to a service, for the budget and the metrics.
-    pub fn count_send(&self, service: &str, again: bool) {
+    /// Counts a send to a service, for the retry budget and the metrics.
+    pub fn record_attempt(&self, service: &str, is_retry: bool) {
         let now = clock::now();
-        if again {
+        if is_retry {
             self.state.borrow_mut().budget.record_retry(service, now);
         }
-        self.meters.sent(again);
+        self.metrics.record_send(is_retry);
     }
 
-    /// Admits a request again right before its send, by what is known then. Returns whether
-    /// the service is still the one that an endpoint was chosen for.
+    /// Admits a request again right before its send, with the current configuration. Returns
+    /// whether the service is still the one for which an endpoint was chosen.
     ///
     /// # Errors
     ///
-    /// It may not be served any more.
+    /// The request is no longer admitted.
     pub fn readmit(&self, original: &Original, ticket: &mut Ticket) -> Result<bool, Refusal> {
         let mut state = self.state.borrow_mut();
         let renewed = state.readmit(clock::now(), &original.inbound, ticket)?;
@@ -258,16 +257,17 @@
         Ok(same)
     }
 
-    /// A send did not reach its endpoint after all.
-    pub fn take_back_send(&self, service: &str, again: bool) {
-        if again {
+    /// Refunds a retry that did not reach its endpoint.
+    pub fn refund_send(&self, service: &str, is_retry: bool) {
+        if is_retry {
             let now = clock::now();
             self.state.borrow_mut().budget.refund_retry(service, now);
         }
     }
 
-    /// An endpoint turned a request down unrun.
-    pub fn full(&self, key: EndpointKey, status: StatusCode) {
+    /// Marks an endpoint as full after it rejected a request without running it; as
+    /// unreachable if the request was misdirected (421).
+    pub fn mark_rejected(&self, key: EndpointKey, status: StatusCode) {
         let now = clock::now();
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             if status == StatusCode::MISDIRECTED_REQUEST {
@@ -278,8 +278,8 @@
         }
     }
 
-    /// A request is on its way to an endpoint.
-    pub fn sent(&self, key: EndpointKey) {
+    /// Records a send to an endpoint.
+    pub fn record_send(&self, key: EndpointKey) {
         if let Some(endpoint) = self.state.borrow_mut().endpoint_mut(key) {
             endpoint.rate_limiter.record_send(clock::now());
         }
@@ -287,7 +287,7 @@
 }
 
 impl Shared {
-    /// Fellows to talk to.
+    /// Peers to which this instance sends.
     #[must_use]
     pub fn links(&self) -> Vec<Link> {
         let state = self.state.borrow();
@@ -295,25 +295,25 @@
         state.members.links(own, clock::now())
     }
 
-    /// Whether a fellow stands in the own failure domain.
+    /// Whether a peer is in the own failure domain.
     #[must_use]
-    pub fn is_near(&self, name: &str) -> bool {
+    pub fn in_own_domain(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let domain = state.members.domain(name);
         domain == Some(&self.settings.instance.domain)
     }
 
-    /// A fellow is talked to and owes an answer.
-    pub fn asked(&self, datagrams: &Datagrams, key: MemberKey, address: SocketAddr) {
+    /// Records that a message to a peer expects an answer.
+    pub fn expect_answer(&self, datagrams: &DatagramSocket, key: MemberKey, address: SocketAddr) {
         let connected = datagrams.is_open(address);
         let mut state = self.state.borrow_mut();
         state.members.expect_answer(key, clock::now(), connected);
     }
 
-    /// Life and version of an aggregator's sums that are held, if its rows are wanted: those
-    /// of the aggregator that is preferred, or of all while none answers.
+    /// Incarnation and version held of an aggregator's sums, if its rows are to be requested:
+    /// only from the preferred aggregator, or from all while none answers.
     #[must_use]
-    pub fn held(&self, aggregator: &str, now: Time) -> Option<(u64, u64)> {
+    pub fn held_version(&self, aggregator: &str, now: Time) -> Option<(u64, u64)> {
         let state = self.state.borrow();
         let views = &state.sums.views;
         let preferred = views.preferred(now);
@@ -321,9 +321,10 @@
         wanted.then(|| views.version(aggregator))
     }
 
-    /// Instances that this one speaks for as an aggregator; none once it is to stop.
+    /// Number of instances that report to this aggregator, itself included; zero while it
+    /// shuts down.
     #[must_use]
-    pub fn speaks_for(&self, now: Time) -> u32 {
+    pub fn reporting_instances(&self, now: Time) -> u32 {
         if self.draining.get() {
             return 0;
         }
@@ -331,19 +332,19 @@
         u32::try_from(members).unwrap_or(u32::MAX)
     }
 
-    /// Load of the own failure domain, and the instances that it is made of.
+    /// Load of the own failure domain, and the number of instances in it.
     #[must_use]
-    pub fn domain_sum(&self, own: &Report, now: Time) -> (Report, u32) {
-        let members = self.speaks_for(now);
+    pub fn domain_load(&self, own: &Report, now: Time) -> (Report, u32) {
+        let members = self.reporting_instances(now);
         let state = self.state.borrow();
         let mut loads = state.peer_loads.sums().clone();
         add_rows(&mut loads, own);
         (loads, members)
     }
 
-    /// Takes the report of a member in. Where work has begun the other failure domains are
-    /// to hear of it before their next choice.
-    pub fn take_report(&self, now: Time, member: &str, number: u64, loads: Report) {
+    /// Applies the report of a member. Rows that have grown are sent to the other failure
+    /// domains at once, before they place further requests there.
+    pub fn apply_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
         let State {
             peer_loads, sums, ..
@@ -361,7 +362,7 @@
         sums.report(now, peer_loads, member, number, loads);
     }
 
-    /// Takes the present sums into the table that members are told from.
+    /// Copies the current sums into the table from which members are answered.
     pub fn publish(&self, own: Report) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
@@ -372,18 +373,18 @@
         sums.publish(now, peer_loads, own);
     }
 
-    /// Settles where the load of other instances is taken from.
-    pub fn settle(&self, role: Role) {
+    /// Selects the source of other instances' load.
+    pub fn select_load_source(&self, role: Role) {
         let now = clock::now();
         let before = self.role.replace(role);
         if before != role {
-            log::info!(role:?, before:?; "part in the exchange of load changed");
+            log::info!(role:?, before:?; "gossip role changed");
         }
         let mut state = self.state.borrow_mut();
         if state.sums.select_source(now, role != Role::Member) {
             let aggregator = state.sums.aggregator().unwrap_or_default();
             let age = state.sums.age(now).unwrap_or_default();
-            log::info!(aggregator, role:?, age_ms = age.as_millis(); "load of others taken from");
+            log::info!(aggregator, role:?, age_ms = age.as_millis(); "load source changed");
         }
     }
 }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,16 +1,16 @@
-//! Streams of events: from the request to the first event.
+//! Event streams, from the request to the first event.
 
 use {
     crate::{
+        buffered::acquire_endpoint,
         clock,
-        exchange::{self, Destination, Original, Sent},
-        plain::place,
+        exchange::{self, Destination, Original, SendOutcome},
         prelude::*,
         progress::Progress,
-        relay::{Relay, Start},
+        relay::{Relay, RelayStart},
         reply,
-        shared::Running,
-        transfer,
+        shared::RunGuard,
+        takeover,
     },
     endpoint::sse::Cutter,
     forward::{choice::Need, prelude::Run, request::Ticket},
@@ -18,93 +18,94 @@
     tokio::sync::mpsc,
 };
 
-/// Share of the target for the first event in which a place is waited for; what is left
-/// is needed for reading the prompt.
-const WAIT_SHARE: f64 = 0.7;
+/// Fraction of the target for the first event for which a request may queue; the rest is
+/// needed for prefill.
+const QUEUE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// Parts that wait for a caller who reads slowly.
-const MOST_BUFFERED: usize = 256;
+/// Limit of body parts buffered for a caller that reads slowly.
+const MAX_BUFFERED_PARTS: usize = 256;
 
-/// Output tokens expected where the caller gives no bound: a few hundred are typical.
-const TYPICAL_OUTPUT: u32 = 256;
+/// Expected output tokens where the caller gives no limit.
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// Serves a request for a stream: its answer begins with the first event, so that a
-/// failure before it has a status.
+/// Serves a request for a stream. The response starts with the first event, so that a failure
+/// before it can still be reported by status.
 ///
 /// # Errors
 ///
-/// The truthful refusal or failure.
+/// Why the request got no response; see [`Progress::give_up`].
 pub async fn serve(
     shared: &Rc<Shared>,
     original: &Rc<Original>,
     ticket: Ticket,
-    busy: crate::listen::Busy,
+    guard: crate::listen::RequestGuard,
 ) -> Result<Reply, Refusal> {
     let mut ticket = ticket;
     let mut progress = Progress::default();
-    let mut busy = Some(busy);
+    let mut guard = Some(guard);
     let id = &original.inbound.id;
     loop {
-        let until = original
+        let deadline = original
             .inbound
             .arrived
-            .after(ticket.route.target.mul_f64(WAIT_SHARE))
+            .after(ticket.route.target.mul_f64(QUEUE_TIMEOUT_SHARE))
             .min(ticket.expires);
-        let expected = expected(&original.inbound);
+        let expected = expected_output_tokens(&original.inbound);
         let need = Need {
             output: expected,
             prompt: original.inbound.prompt,
         };
-        let placed = place(shared, &ticket, need, &progress.tried, until).await;
-        let Some((key, backup)) = placed else {
+        let acquired = acquire_endpoint(shared, &ticket, need, &progress.tried, deadline).await;
+        let Some((key, backup)) = acquired else {
             progress.why = "no engine with room".to_string();
             return Err(progress.give_up(id, Refusal::Full));
         };
-        // No event has reached the caller, so the newest configuration decides.
+        // No event has reached the caller yet, so the newest configuration applies.
         match shared.readmit(original, &mut ticket) {
             Ok(true) => {}
             Ok(false) => continue,
             Err(refusal) => return Err(progress.give_up(id, refusal)),
         }
-        shared.count_send(&ticket.service, progress.sends > 0);
+        shared.record_attempt(&ticket.service, progress.sends > 0);
         progress.sends += 1;
         let running = begin(shared, original, &ticket, key, backup, expected);
         let opened = open(shared, original, &ticket, &progress, key, backup).await;
         match opened {
-            Opened::Answer(reply) => return Ok(reply),
-            Opened::Unknown(refusal, why) => {
-                progress.ran(key, why);
+            OpenOutcome::Answer(reply) => return Ok(reply),
+            OpenOutcome::Unknown(refusal, why) => {
+                progress.note_run(key, why);
                 if clock::now() >= ticket.expires || !progress.may_send(shared, &ticket) {
                     return Err(progress.give_up(id, refusal));
                 }
             }
-            Opened::Stream(opening) => {
-                let (out, parts) = mpsc::channel(MOST_BUFFERED);
+            OpenOutcome::Stream(opened_stream) => {
+                let (out, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
                 let mut reply = Response::new(Body::Parts(parts));
-                *reply.headers_mut() = opening.headers;
+                *reply.headers_mut() = opened_stream.headers;
                 shared
-                    .meters
-                    .first_event(clock::now().since(original.inbound.arrived));
-                let start = Start {
-                    busy: busy.take(),
+                    .metrics
+                    .record_first_event(clock::now().since(original.inbound.arrived));
+                let start = RelayStart {
+                    guard: guard.take(),
                     original: Rc::clone(original),
                     out,
                     progress,
                     running,
-                    source: opening.source,
+                    source: opened_stream.source,
                     ticket,
                 };
                 let relay = Relay::new(shared, start);
-                tokio::task::spawn_local(relay.run(opening.blocks, opening.ended));
+                tokio::task::spawn_local(relay.run(opened_stream.blocks, opened_stream.ended));
                 return Ok(reply);
             }
-            Opened::NotReached => {
-                // It never arrived, so it counts neither as a try nor for the budget.
+            OpenOutcome::NotReached => {
+                // The request never arrived, so it counts neither as an attempt nor against
+                // the retry budget.
                 progress.sends -= 1;
-                shared.take_back_send(&ticket.service, progress.sends > 0);
+                shared.refund_send(&ticket.service, progress.sends > 0);
             }
-            Opened::NotRun(why) => {
-                progress.turned_down(key, why);
+            OpenOutcome::NotRun(why) => {
+                progress.note_rejected(key, why);
                 if !progress.may_send(shared, &ticket) {
                     return Err(progress.give_up(id, Refusal::Full));
                 }
@@ -113,14 +114,14 @@
     }
 }
 
-/// Output tokens to expect: the caller's own estimate, right at the median.
-fn expected(inbound: &Inbound) -> u32 {
-    let most = if inbound.max_output_tokens == 0 {
-        TYPICAL_OUTPUT
+/// Expected output tokens: the caller's estimate, at most its limit.
+fn expected_output_tokens(inbound: &Inbound) -> u32 {
+    let limit = if inbound.max_output_tokens == 0 {
+        DEFAULT_OUTPUT_TOKENS
     } else {
         inbound.max_output_tokens
     };
-    inbound.length_hint.map_or(most, |hint| hint.min(most))
+    inbound.length_hint.map_or(limit, |hint| hint.min(limit))
 }
 
 fn begin(
@@ -130,7 +131,7 @@
     key: EndpointKey,
     backup: Option<EndpointKey>,
     expected: u32,
-) -> Running {
+) -> RunGuard {
     let tokens_per_event = shared
         .state
         .borrow()
@@ -148,23 +149,23 @@
         target: None,
         tokens_per_event,
     };
-    Running::new(shared, run)
+    RunGuard::new(shared, run)
 }
 
-/// A stream whose first events are there.
-struct Opening {
+/// A stream whose first events have been read.
+struct OpenedStream {
     blocks: Vec<Bytes>,
     ended: bool,
     headers: http::HeaderMap,
-    source: transfer::Source,
+    source: takeover::EventSource,
 }
 
-enum Opened {
+enum OpenOutcome {
     Answer(Reply),
     NotReached,
     NotRun(String),
-    Stream(Box<Opening>),
-    /// It may have run: what to tell the caller, and why.
+    Stream(Box<OpenedStream>),
+    /// The engine may have run the request: what to return to the caller, and why.
     Unknown(Refusal, String),
 }
 
@@ -176,7 +177,7 @@
     progress: &Progress,
     key: EndpointKey,
     backup: Option<EndpointKey>,
-) -> Opened {
+) -> OpenOutcome {
     let limit = ticket.attempt_timeout(clock::now(), progress.runs);
     let destination = Destination {
         backup,
@@ -188,82 +189,86 @@
     };
     let opened = async {
         match exchange::send(shared, original, &destination, limit).await {
-            Sent::NotWritten(why) => {
-                shared.unreachable(key);
-                log::info!(id = original.inbound.id, why; "engine not reached");
-                Opened::NotReached
+            SendOutcome::NotWritten(why) => {
+                shared.mark_unreachable(key);
+                log::info!(id = original.inbound.id, why; "cannot reach engine");
+                OpenOutcome::NotReached
             }
-            Sent::Unknown(why) => fail(shared, key, why),
-            Sent::Answer(answer, verdict) if verdict.not_run => {
-                shared.full(key, answer.status());
-                Opened::NotRun(format!("turned down with {}", answer.status()))
+            SendOutcome::Unknown(why) => fail(shared, key, why),
+            SendOutcome::Answer(answer, flags) if flags.not_run => {
+                shared.mark_rejected(key, answer.status());
+                OpenOutcome::NotRun(format!("rejected with {}", answer.status()))
             }
-            Sent::Answer(answer, verdict) if answer.status() == StatusCode::OK => {
-                if !verdict.sealed || verdict.encoded {
-                    return fail(shared, key, "improper answer".to_string());
+            SendOutcome::Answer(answer, flags) if answer.status() == StatusCode::OK => {
+                if !flags.sealed || flags.encoded {
+                    return fail(shared, key, "invalid response".to_string());
                 }
                 first_event(shared, key, answer).await
             }
-            Sent::Answer(answer, _) => other_answer(shared, key, answer).await,
+            SendOutcome::Answer(answer, _) => non_stream_answer(shared, key, answer).await,
         }
     };
     timeout(limit, opened).await.unwrap_or_else(|_| {
-        shared.unreachable(key);
-        Opened::Unknown(Refusal::TimedOut, "no first event in time".to_string())
+        shared.mark_unreachable(key);
+        OpenOutcome::Unknown(Refusal::TimedOut, "no first event in time".to_string())
     })
 }
 
-fn fail(shared: &Shared, key: EndpointKey, why: String) -> Opened {
-    shared.unreachable(key);
-    Opened::Unknown(Refusal::Broken, why)
+fn fail(shared: &Shared, key: EndpointKey, why: String) -> OpenOutcome {
+    shared.mark_unreachable(key);
+    OpenOutcome::Unknown(Refusal::Broken, why)
 }
 
-/// Reads until an event is whole.
-async fn first_event(shared: &Shared, key: EndpointKey, answer: endpoint::client::Reply) -> Opened {
+/// Reads until the first event is complete.
+async fn first_event(
+    shared: &Shared,
+    key: EndpointKey,
+    answer: endpoint::client::Reply,
+) -> OpenOutcome {
     let headers = head::answer(answer.headers());
     let mut answer = answer;
-    let mut cutter = Cutter::default();
+    let mut splitter = Cutter::default();
     loop {
         let part = match answer.part().await {
             Ok(part) => part,
             Err(error) => return fail(shared, key, error.to_string()),
         };
         let ended = part.is_none();
-        let blocks = match cutter.feed(part.unwrap_or_default()) {
+        let blocks = match splitter.feed(part.unwrap_or_default()) {
             Ok(blocks) => blocks,
             Err(error) => return fail(shared, key, error.to_string()),
         };
         if blocks.is_empty() && !ended {
             continue;
         }
-        shared.answered(key, false);
-        return Opened::Stream(Box::new(Opening {
+        shared.record_answer(key, false);
+        return OpenOutcome::Stream(Box::new(OpenedStream {
             blocks,
             ended,
             headers,
-            source: transfer::Source {
+            source: takeover::EventSource {
                 answer,
-                cutter,
+                splitter,
                 key,
             },
         }));
     }
 }
 
-/// Passes on an answer that is no stream.
-async fn other_answer(
+/// Returns a response that is not a stream.
+async fn non_stream_answer(
     shared: &Shared,
     key: EndpointKey,
     answer: endpoint::client::Reply,
-) -> Opened {
+) -> OpenOutcome {
     let status = answer.status();
-    shared.answered(key, status.is_server_error());
+    shared.record_answer(key, status.is_server_error());
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
-        return fail(shared, key, format!("improper answer with {status}"));
+        return fail(shared, key, format!("invalid response with {status}"));
     }
     let headers = head::answer(answer.headers());
     match answer.whole(endpoint::sse::MOST).await {
-        Ok(body) => Opened::Answer(reply::whole(status, headers, body)),
+        Ok(body) => OpenOutcome::Answer(reply::whole(status, headers, body)),
         Err(error) => fail(shared, key, error.to_string()),
     }
 }
--- /dev/null
+++ b/crates/proxy/src/takeover.rs
@@ -0,0 +1,202 @@
+//! Asking another engine to take a run over.
+
+use {
+    crate::{
+        clock,
+        exchange::{self, Destination, Original, SendOutcome},
+        prelude::*,
+        relocate::{self, MoveOutcome, Takeover},
+    },
+    endpoint::sse::Cutter,
+    forward::request::Ticket,
+    platform::head,
+};
+
+/// Limit for the head of the response to a takeover.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// Limit for a takeover while the run's own engine may still be running it. Engines allow two
+/// of them to run it for 400 ms.
+const MAX_OVERLAP: Duration = Duration::from_millis(250);
+
+/// Source of a stream's events.
+#[derive(Debug)]
+pub struct EventSource {
+    /// The engine's response, whose body is still being read.
+    pub answer: endpoint::client::Reply,
+    /// Splits the body into events.
+    pub splitter: Cutter,
+    /// The engine.
+    pub key: EndpointKey,
+}
+
+/// Result of a move or takeover.
+#[derive(Debug)]
+pub enum TakeoverOutcome {
+    /// The engine that holds the copy continues the run; the previous one is to be dropped.
+    Opened(Box<Opened>),
+    /// The run stays where it is, for this reason; a move may be retried.
+    Deferred(String),
+    /// The other engine has not confirmed or refused the takeover.
+    Unknown(EndpointKey),
+}
+
+/// A run that another engine has taken over.
+#[derive(Debug)]
+pub struct Opened {
+    /// Engine that holds its next backup copy.
+    pub backup: Option<EndpointKey>,
+    /// Source of its events.
+    pub source: EventSource,
+}
+
+/// Why a takeover failed.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub enum Failure {
+    /// The engine has not run anything.
+    NotRun(String),
+    /// The engine may be running it.
+    Unknown(String),
+}
+
+impl Display for Failure {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        let (Self::NotRun(why) | Self::Unknown(why)) = self;
+        f.write_str(why)
+    }
+}
+
+/// The data that a takeover needs.
+#[derive(Debug)]
+pub struct TakeoverContext {
+    /// Id of the last event sent to the caller, kept up to date.
+    pub last_event: Rc<RefCell<Option<String>>>,
+    /// The caller's request.
+    pub original: Rc<Original>,
+    /// The run.
+    pub run: RunKey,
+    /// State shared by all tasks.
+    pub shared: Rc<Shared>,
+    /// The request's ticket.
+    pub ticket: Ticket,
+}
+
+impl TakeoverContext {
+    /// Takes over at the engine with the backup copy if it is healthy; otherwise moves the
+    /// run's KV cache.
+    ///
+    /// The backup lacks only the last few tokens, so its engine can continue at once, while a
+    /// move queues behind others on the link. The run continues until the other engine has
+    /// responded, so nothing is lost if the copy is missing.
+    pub async fn move_run(self, backup: Option<Takeover>) -> TakeoverOutcome {
+        let healthy = self
+            .shared
+            .state
+            .borrow()
+            .healthy_backup(clock::now(), self.run);
+        if let Some(takeover) = backup.filter(|takeover| Some(takeover.key) == healthy) {
+            match self.open_within_overlap(&takeover, "leaving").await {
+                TakeoverOutcome::Deferred(_) => {}
+                settled => return settled,
+            }
+        }
+        let id = &self.original.inbound.id;
+        match relocate::move_run(&self.shared, self.run, id).await {
+            MoveOutcome::Deferred(why) => TakeoverOutcome::Deferred(why),
+            MoveOutcome::Ready(takeover) => self.open_within_overlap(&takeover, "copied").await,
+        }
+    }
+
+    /// Takes over at the engine that holds a copy; does not fall back to a move.
+    pub async fn take_over(self, takeover: Takeover, why: &'static str) -> TakeoverOutcome {
+        self.open_within_overlap(&takeover, why).await
+    }
+
+    /// Asks an engine to take over while the previous engine may still be running.
+    async fn open_within_overlap(&self, takeover: &Takeover, why: &str) -> TakeoverOutcome {
+        match timeout(MAX_OVERLAP, self.open_from_copy(takeover, why)).await {
+            Ok(Ok(opened)) => TakeoverOutcome::Opened(Box::new(opened)),
+            Ok(Err(Failure::NotRun(why))) => TakeoverOutcome::Deferred(why),
+            Ok(Err(Failure::Unknown(_))) | Err(_) => TakeoverOutcome::Unknown(takeover.key),
+        }
+    }
+
+    /// Asks an engine to continue from a copy.
+    ///
+    /// # Errors
+    ///
+    /// The engine refused, or did not respond.
+    pub async fn open_from_copy(&self, takeover: &Takeover, why: &str) -> Result<Opened, Failure> {
+        let source = head::Source {
+            address: takeover.address,
+            handle: takeover.handle.clone(),
+        };
+        self.ask(takeover.key, Some(&source), why).await
+    }
+
+    /// Asks an engine to start a resumable stream after the caller's last event.
+    ///
+    /// # Errors
+    ///
+    /// The engine refused, or did not respond.
+    pub async fn resume(&self, key: EndpointKey, why: &str) -> Result<Opened, Failure> {
+        self.ask(key, None, why).await
+    }
+
+    async fn ask(
+        &self,
+        key: EndpointKey,
+        source: Option<&head::Source>,
+        why: &str,
+    ) -> Result<Opened, Failure> {
+        let started_at = clock::now();
+        let last_event = self.last_event.borrow().clone();
+        let backup = self
+            .shared
+            .state
+            .borrow()
+            .pick_backup(started_at, self.run, key);
+        let destination = Destination {
+            backup,
+            customer: self.ticket.customer.as_deref(),
+            expires: self.ticket.expires,
+            key,
+            last_event: last_event.as_deref(),
+            source,
+        };
+        self.shared.record_attempt(&self.ticket.service, true);
+        let sent =
+            exchange::send(&self.shared, &self.original, &destination, TAKEOVER_TIMEOUT).await;
+        let result = match sent {
+            SendOutcome::Answer(answer, flags)
+                if answer.status() == StatusCode::OK && flags.sealed && !flags.not_run =>
+            {
+                Ok(Opened {
+                    backup,
+                    source: EventSource {
+                        answer,
+                        splitter: Cutter::default(),
+                        key,
+                    },
+                })
+            }
+            SendOutcome::Answer(answer, flags) if flags.not_run => {
+                Err(Failure::NotRun(format!("answered {}", answer.status())))
+            }
+            SendOutcome::Answer(answer, _) => {
+                Err(Failure::Unknown(format!("answered {}", answer.status())))
+            }
+            SendOutcome::NotWritten(error) => Err(Failure::NotRun(error)),
+            SendOutcome::Unknown(error) => Err(Failure::Unknown(error)),
+        };
+        let error = result.as_ref().err().map(ToString::to_string);
+        log::info!(
+            id = self.original.inbound.id, why, error = error.unwrap_or_default(),
+            ms = clock::now().since(started_at).as_millis(),
+            last_event = last_event.as_deref().unwrap_or_default(); "takeover"
+        );
+        let outcome = if result.is_ok() { "went_on" } else { "refused" };
+        self.shared.metrics.record_move(outcome);
+        result
+    }
+}
