--- a/crates/bench/src/domain.rs
+++ b/crates/bench/src/domain.rs
@@ -99,7 +99,7 @@
                 .send(&setup.daemons[daemon].address, request)
                 .await?;
             let refused = u64::from(reply.status() != 200);
-            reply.whole(1 << 20).await?;
+            reply.read_body(1 << 20).await?;
             Ok::<_, Error>(refused)
         }));
     }
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -49,7 +49,7 @@
             .await?;
         let mut parser = Parser::default();
         let (mut tokens, mut last, mut longest) = (0, Instant::now(), Duration::ZERO);
-        while let Some(part) = reply.part().await? {
+        while let Some(part) = reply.chunk().await? {
             tokens += parser.feed(part)?.len();
             longest = longest.max(last.elapsed());
             last = Instant::now();
@@ -62,7 +62,7 @@
                 }
             }
         }
-        reply.keep();
+        reply.release();
         gaps.saturating_record(u64::try_from(longest.as_micros()).unwrap_or(u64::MAX));
     }
     println!(
@@ -145,7 +145,7 @@
         let reply = client.send(&address, request).await?;
         answered += u64::from(reply.status() == 200);
         let refused = reply.status() != 200;
-        reply.whole(1 << 20).await?;
+        reply.read_body(1 << 20).await?;
         if refused {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
--- a/crates/bench/src/orders.rs
+++ b/crates/bench/src/orders.rs
@@ -75,7 +75,7 @@
             };
             let reply = setup.client.send(address, request).await?;
             let answered = reply.status() == 200;
-            reply.whole(1 << 20).await?;
+            reply.read_body(1 << 20).await?;
             let waited = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
             let mut results = results.lock().expect("no task panicked");
             results.0.saturating_record(waited);
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -148,7 +148,11 @@
         .header("host", address)
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body.to_string())))?;
-    client.send(address, request).await?.whole(1 << 20).await?;
+    client
+        .send(address, request)
+        .await?
+        .read_body(1 << 20)
+        .await?;
     Ok(())
 }
 
@@ -170,6 +174,10 @@
     let request = Request::get(path)
         .header("host", address)
         .body(Full::default())?;
-    let body = client.send(address, request).await?.whole(1 << 24).await?;
+    let body = client
+        .send(address, request)
+        .await?
+        .read_body(1 << 24)
+        .await?;
     Ok(serde_json::from_slice(&body).unwrap_or_default())
 }
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -200,7 +200,7 @@
     let mut reply = client.send(address, request).await?;
     let mut parser = Parser::default();
     let mut first = true;
-    while let Some(part) = reply.part().await? {
+    while let Some(part) = reply.chunk().await? {
         let now = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
@@ -218,7 +218,7 @@
             }
         }
     }
-    reply.keep();
+    reply.release();
     Ok(())
 }
 
--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -155,7 +155,7 @@
     let mut tokens = 0;
     let mut done = false;
     print!("  ");
-    while let Some(part) = reply.part().await.map_err(streamlog::Error::from)? {
+    while let Some(part) = reply.chunk().await.map_err(streamlog::Error::from)? {
         for event in parser.feed(part).map_err(streamlog::Error::from)? {
             done |= event.data == "[DONE]";
             tokens += usize::from(event.index == Some(u32::try_from(tokens).unwrap_or(u32::MAX)));
@@ -187,7 +187,10 @@
             .ask(instance, "/services/kiln/bookings", Some(&key), "plate 17")
             .await?;
         let status = reply.status();
-        let body = reply.whole(4096).await.map_err(streamlog::Error::from)?;
+        let body = reply
+            .read_body(4096)
+            .await
+            .map_err(streamlog::Error::from)?;
         let body = String::from_utf8_lossy(&body).into_owned();
         println!("   through instance {}: {status} {body}", instance + 1);
         seen(status == 200, "the booking was not answered")?;
@@ -227,7 +230,10 @@
             .ask(1, "/v1/completions", None, &body.to_string())
             .await?;
         seen(reply.status() == 200, "a check was not answered")?;
-        reply.whole(1 << 16).await.map_err(streamlog::Error::from)?;
+        reply
+            .read_body(1 << 16)
+            .await
+            .map_err(streamlog::Error::from)?;
     }
     let after = demo.starts(1).await?;
     seen(before == after, "the domain that is out got new work")?;
@@ -298,7 +304,10 @@
             .send(address, request)
             .await
             .map_err(streamlog::Error::from)?;
-        let body = reply.whole(1 << 24).await.map_err(streamlog::Error::from)?;
+        let body = reply
+            .read_body(1 << 24)
+            .await
+            .map_err(streamlog::Error::from)?;
         Ok(serde_json::from_slice(&body).map_err(streamlog::Error::from)?)
     }
 
@@ -320,7 +329,10 @@
             .send(&self.list, request)
             .await
             .map_err(streamlog::Error::from)?;
-        reply.whole(4096).await.map_err(streamlog::Error::from)?;
+        reply
+            .read_body(4096)
+            .await
+            .map_err(streamlog::Error::from)?;
         Ok(())
     }
 
--- a/crates/carawayhead/src/command/publish.rs
+++ b/crates/carawayhead/src/command/publish.rs
@@ -13,7 +13,7 @@
         config::{Applied, Config},
         record::{Body, Domain, Item, Kind},
     },
-    streamlog::stream::{Entry, Stream, settled},
+    streamlog::stream::{LogRecord, Stream, append_result},
 };
 
 /// How often a publication whose answer was lost is looked for.
@@ -74,7 +74,7 @@
     let text = format!("{}\n{mark}\n", text.trim_end());
     let begun = replay(stream).await?.config.next();
     let result = stream.append(Bytes::from(text)).await;
-    match (settled(&result), result) {
+    match (append_result(&result), result) {
         (AppendResult::Refused, Err(error)) => return Err(error.into()),
         (_, Ok(_)) => {}
         (_, Err(error)) => log::warn!(error:%; "the answer was lost; looking for the record"),
@@ -101,7 +101,7 @@
     /// What applying it came to.
     pub applied: Applied,
     /// The record as it stands in the log.
-    pub entry: Entry,
+    pub entry: LogRecord,
 }
 
 /// The stream read from its first record to its end.
--- a/crates/carawayhead/src/command/show.rs
+++ b/crates/carawayhead/src/command/show.rs
@@ -94,7 +94,7 @@
         .header("host", address)
         .body(Full::default())?;
     let reply = client.send(address, request).await?;
-    let body = reply.whole(1 << 20).await?;
+    let body = reply.read_body(1 << 20).await?;
     Ok(serde_json::from_slice(&body)?)
 }
 
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -11,7 +11,7 @@
         gossip::{Heard, Known},
         snapshot::Snapshot,
     },
-    endpoint::{engine, service, tell},
+    endpoint::{engine, send_event, service},
     fellow::Answer,
     streamlog::stream::{self, Stream},
 };
@@ -114,7 +114,7 @@
 
     fn append(&self, batch: &Batch) {
         let (stream, events) = (self.claims.clone(), self.events.clone());
-        let data = streamlog::codec::encode(batch);
+        let data = streamlog::codec::encode_batch(batch);
         tokio::spawn(async move {
             let result = match data {
                 Ok(data) => stream.append(data).await,
@@ -123,7 +123,7 @@
             if let Err(error) = &result {
                 log::warn!(error:%; "claims could not be appended");
             }
-            tell(&events, Event::Appended(stream::settled(&result))).await;
+            send_event(&events, Event::Appended(stream::append_result(&result))).await;
         });
     }
 
@@ -162,7 +162,7 @@
             match link.exchange(to, &hello).await {
                 Ok(answer) => {
                     lock(&timeline).receive(clock.wall(), answer.hello.stamp);
-                    tell(&events, Event::Heard(heard(asked, answer))).await;
+                    send_event(&events, Event::Heard(heard(asked, answer))).await;
                 }
                 Err(error) => log::debug!(address:% = to, error:%; "no word of a fellow instance"),
             }
@@ -182,7 +182,7 @@
                     Event::Unreachable(endpoint)
                 }
             };
-            tell(&events, event).await;
+            send_event(&events, event).await;
         });
     }
 
@@ -245,7 +245,7 @@
                 body.insert("model".to_string(), json!(model));
                 body.insert("priority".to_string(), json!(priority));
                 body.insert("stream".to_string(), json!(true));
-                let start = engine::Start {
+                let start = engine::StartRequest {
                     attempt,
                     body: json!(body).to_string().into(),
                     path,
@@ -291,7 +291,7 @@
 }
 
 async fn append_parts(stream: &Stream, snapshot: &Snapshot) -> Result<(), streamlog::Error> {
-    for part in streamlog::codec::split(snapshot, rand::random())? {
+    for part in streamlog::codec::encode_snapshot(snapshot, rand::random())? {
         stream.append(part).await?;
     }
     Ok(())
--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -3,10 +3,10 @@
 use {
     crate::prelude::*,
     decision::{gossip::Line, snapshot::Snapshot},
-    endpoint::tell,
+    endpoint::send_event,
     streamlog::{
         codec, list,
-        stream::{Part, READ_HOLD, Stream},
+        stream::{LONG_POLL_TIMEOUT, RecordBatch, Stream},
     },
 };
 
@@ -21,14 +21,14 @@
         let Some(part) = read(&stream, next, hold).await else {
             continue;
         };
-        hold = READ_HOLD;
+        hold = LONG_POLL_TIMEOUT;
         if part.first > next {
             // Starting in the middle would put a configuration in force that lacks what
             // the missing records said; it starts from a snapshot, or not at all.
             match newest(&snapshots).await {
                 Some(snapshot) if snapshot.next >= part.first => {
                     next = snapshot.next;
-                    tell(&events, Event::Snapshot(snapshot)).await;
+                    send_event(&events, Event::Snapshot(snapshot)).await;
                 }
                 _ => {
                     log::error!(first = part.first, next; "configuration records have aged out unread and no snapshot has them");
@@ -39,24 +39,24 @@
         }
         for entry in &part.records {
             next = entry.offset + 1;
-            tell(&events, Event::Configured(line(entry.offset, &entry.data))).await;
+            send_event(&events, Event::Configured(line(entry.offset, &entry.data))).await;
         }
         if next >= part.next {
-            tell(&events, Event::ConfigFresh(clock.at(part.asked))).await;
+            send_event(&events, Event::ConfigFresh(clock.at(part.requested_at))).await;
         }
     }
 }
 
 /// Reads the newest whole snapshot.
 pub async fn newest(stream: &Stream) -> Option<Snapshot> {
-    let mut assembly = codec::Assembly::default();
+    let mut assembly = codec::SnapshotAssembler::default();
     let mut newest = None;
     let mut next = 0;
     loop {
         let part = read(stream, next, Duration::ZERO).await?;
         for entry in &part.records {
             next = entry.offset + 1;
-            match assembly.take(&entry.data) {
+            match assembly.push(&entry.data) {
                 Ok(Some(snapshot)) => newest = Some(snapshot),
                 Ok(None) => {}
                 Err(error) => log::error!(offset = entry.offset, error:%; "snapshot is skipped"),
@@ -70,17 +70,17 @@
 
 /// Follows the snapshots, to know when the next one is due.
 pub async fn snapshots(stream: Stream, events: Sender<Event>) {
-    let mut assembly = codec::Assembly::default();
+    let mut assembly = codec::SnapshotAssembler::default();
     let mut next = 0;
     while !events.is_closed() {
-        let Some(part) = read(&stream, next, READ_HOLD).await else {
+        let Some(part) = read(&stream, next, LONG_POLL_TIMEOUT).await else {
             continue;
         };
         next = next.max(part.first);
         for entry in &part.records {
             next = entry.offset + 1;
-            if matches!(assembly.take(&entry.data), Ok(Some(_))) {
-                tell(&events, Event::SnapshotSeen(entry.at)).await;
+            if matches!(assembly.push(&entry.data), Ok(Some(_))) {
+                send_event(&events, Event::SnapshotSeen(entry.at)).await;
             }
         }
     }
@@ -91,23 +91,27 @@
     let mut next = 0;
     let mut begun = false;
     while !events.is_closed() {
-        let hold = if begun { READ_HOLD } else { Duration::ZERO };
+        let hold = if begun {
+            LONG_POLL_TIMEOUT
+        } else {
+            Duration::ZERO
+        };
         let Some(part) = read(&stream, next, hold).await else {
             continue;
         };
         if !begun && part.first == 0 {
-            tell(&events, Event::ClaimsCover(Wall(0))).await;
+            send_event(&events, Event::ClaimsCover(Wall(0))).await;
         } else if part.first > next {
             let from = part.records.first().map_or(part.now, |entry| entry.at);
             log::warn!(first = part.first, next; "claim records have aged out unread");
-            tell(&events, Event::ClaimsCover(from)).await;
+            send_event(&events, Event::ClaimsCover(from)).await;
             next = part.first;
         }
         begun = true;
         let mut batches = Vec::with_capacity(part.records.len());
         for entry in &part.records {
             next = entry.offset + 1;
-            match codec::decode(&entry.data) {
+            match codec::decode_batch(&entry.data) {
                 Ok(batch) => batches.push(batch),
                 Err(error) => {
                     log::error!(offset = entry.offset, error:%; "claim record is skipped");
@@ -115,10 +119,10 @@
             }
         }
         if !batches.is_empty() {
-            tell(&events, Event::Claims(batches)).await;
+            send_event(&events, Event::Claims(batches)).await;
         }
         if next >= part.next {
-            tell(&events, Event::ClaimsFresh(clock.at(part.asked))).await;
+            send_event(&events, Event::ClaimsFresh(clock.at(part.requested_at))).await;
         }
     }
 }
@@ -128,7 +132,7 @@
     let mut reader = list::Reader::new(client, address);
     while !events.is_closed() {
         match reader.read().await {
-            Ok(Some(list)) => tell(&events, Event::Listed(list.members, list.peers)).await,
+            Ok(Some(list)) => send_event(&events, Event::Listed(list.members, list.peers)).await,
             Ok(None) => {}
             Err(error) => log::warn!(error:%; "instance list cannot be read"),
         }
@@ -164,7 +168,7 @@
     })
 }
 
-async fn read(stream: &Stream, next: u64, hold: Duration) -> Option<Part> {
+async fn read(stream: &Stream, next: u64, hold: Duration) -> Option<RecordBatch> {
     match stream.read(next, hold).await {
         Ok(part) => Some(part),
         Err(error) => {
--- a/crates/carawayhead/tests/common/mod.rs
+++ b/crates/carawayhead/tests/common/mod.rs
@@ -228,7 +228,7 @@
             .send(&self.list.address, request)
             .await
             .expect("the list answers");
-        reply.whole(1 << 20).await.expect("the answer arrives");
+        reply.read_body(1 << 20).await.expect("the answer arrives");
     }
 
     async fn join_with(&mut self, name: &str, domain: &str, log: &str) {
@@ -329,7 +329,7 @@
         let Ok(reply) = self.client.send(address, request).await else {
             return Value::Null;
         };
-        let body = reply.whole(1 << 24).await.unwrap_or_default();
+        let body = reply.read_body(1 << 24).await.unwrap_or_default();
         serde_json::from_slice(&body).unwrap_or_default()
     }
 
@@ -346,7 +346,7 @@
             .await
             .expect("the stand-in answers");
         assert!(reply.status().is_success(), "{path} took {body}");
-        reply.whole(1 << 20).await.expect("the answer arrives");
+        reply.read_body(1 << 20).await.expect("the answer arrives");
     }
 
     /// Sends a request to a daemon.
@@ -381,7 +381,7 @@
         let reply = self.ask(number, request).await.expect("the daemon answers");
         let status = reply.status().as_u16();
         let body = reply
-            .whole(1 << 24)
+            .read_body(1 << 24)
             .await
             .expect("the answer arrives whole");
         (status, serde_json::from_slice(&body).unwrap_or_default())
@@ -458,7 +458,7 @@
     /// Reads until `count` events have come; false if the stream ended before.
     pub async fn read(&mut self, reply: &mut Reply, count: usize) -> bool {
         while self.data.len() < count {
-            let Ok(Some(part)) = reply.part().await else {
+            let Ok(Some(part)) = reply.chunk().await else {
                 return false;
             };
             self.text.push_str(&String::from_utf8_lossy(&part));
--- a/crates/carawayhead/tests/forwarding/answers.rs
+++ b/crates/carawayhead/tests/forwarding/answers.rs
@@ -4,17 +4,17 @@
     crate::instance::{Instance, until},
     http::StatusCode,
     platform::standin::{
-        Desk, Store,
-        caller::{Ask, ask, config},
-        desk::Conduct,
+        PlainService, Store,
+        caller::{CallerRequest, config, send_request},
+        service::ServiceBehavior,
     },
 };
 
-async fn deployment(desks: &[&Desk]) -> (Store, Instance) {
+async fn deployment(desks: &[&PlainService]) -> (Store, Instance) {
     let store = Store::start().await;
-    store.operate("config", &config(1, &["key-1"], 5000));
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
     for (number, desk) in desks.iter().enumerate() {
-        store.list(
+        store.write_endpoint_entry(
             &format!("d{}", number + 1),
             &desk.entry("desk", "a", "ready"),
         );
@@ -27,16 +27,18 @@
 /// take a reservation, or go on from another's memory. The endpoint must see the system's.
 #[tokio::test]
 async fn a_request_is_forwarded_without_what_is_not_the_callers_to_say() {
-    let desk = Desk::start("d1").await;
+    let desk = PlainService::start("d1").await;
     let (_store, instance) = deployment(&[&desk]).await;
-    let mut request = Ask::new("r1", "/order/7?plate=3");
+    let mut request = CallerRequest::new("r1", "/order/7?plate=3");
     request.extra = vec![
         ("carawayhead-tenant", "eve"),
         ("carawayhead-kv-hold", "h1"),
         ("kv-from", "127.0.0.1:1/r0"),
         ("x-note", "kept"),
     ];
-    let got = ask(instance.callers, &request).await.expect("an answer");
+    let got = send_request(instance.callers, &request)
+        .await
+        .expect("an answer");
     assert_eq!((got.status, got.sealed), (StatusCode::OK, true));
     assert_eq!(got.body, "done r1 at d1");
     let ran = desk.ran();
@@ -62,15 +64,20 @@
 /// has its own answer, and nothing reaches an endpoint.
 #[tokio::test]
 async fn improper_requests_are_refused_by_name() {
-    let desk = Desk::start("d1").await;
+    let desk = PlainService::start("d1").await;
     let (_store, instance) = deployment(&[&desk]).await;
-    let mut unknown = Ask::new("r1", "/order/7");
+    let mut unknown = CallerRequest::new("r1", "/order/7");
     unknown.key = "key-9";
     for (request, status) in [
         (unknown, StatusCode::UNAUTHORIZED),
-        (Ask::new("r2", "/nothing/7"), StatusCode::NOT_FOUND),
+        (
+            CallerRequest::new("r2", "/nothing/7"),
+            StatusCode::NOT_FOUND,
+        ),
     ] {
-        let got = ask(instance.callers, &request).await.expect("an answer");
+        let got = send_request(instance.callers, &request)
+            .await
+            .expect("an answer");
         assert_eq!(got.status, status);
         assert_eq!(got.id.as_deref(), Some(request.id));
     }
@@ -81,16 +88,19 @@
 /// twice; saying that it has not run would have the caller do so.
 #[tokio::test]
 async fn an_order_whose_answer_is_lost_is_not_repeated() {
-    let (one, two) = (Desk::start("d1").await, Desk::start("d2").await);
+    let (one, two) = (
+        PlainService::start("d1").await,
+        PlainService::start("d2").await,
+    );
     let (_store, instance) = deployment(&[&one, &two]).await;
     for desk in [&one, &two] {
-        desk.conduct(Conduct::Lost);
+        desk.set_behavior(ServiceBehavior::NoAnswer);
     }
-    let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
+    let got = send_request(instance.callers, &CallerRequest::new("r1", "/order/7")).await;
     assert_eq!(got.expect("an answer").status, StatusCode::BAD_GATEWAY);
     assert_eq!(one.ran().len() + two.ran().len(), 1);
     // A lookup may be repeated, and is.
-    let got = ask(instance.callers, &Ask::new("r2", "/look/7")).await;
+    let got = send_request(instance.callers, &CallerRequest::new("r2", "/look/7")).await;
     assert_eq!(got.expect("an answer").status, StatusCode::BAD_GATEWAY);
     assert_eq!(one.ran().len() + two.ran().len(), 3);
 }
@@ -100,15 +110,22 @@
 /// and not a failure of this instance's own.
 #[tokio::test]
 async fn an_endpoints_own_failure_is_delivered_if_nothing_better_comes() {
-    for second in [None, Some(Conduct::Lost), Some(Conduct::Full)] {
-        let desks = [Desk::start("d1").await, Desk::start("d2").await];
-        desks[0].conduct(Conduct::Failing);
-        desks[1].conduct(second.unwrap_or_default());
+    for second in [
+        None,
+        Some(ServiceBehavior::NoAnswer),
+        Some(ServiceBehavior::Rejecting),
+    ] {
+        let desks = [
+            PlainService::start("d1").await,
+            PlainService::start("d2").await,
+        ];
+        desks[0].set_behavior(ServiceBehavior::Failing);
+        desks[1].set_behavior(second.unwrap_or_default());
         let listed = if second.is_some() { 2 } else { 1 };
         let listed = desks[..listed].iter().collect::<Vec<_>>();
         let (_store, instance) = deployment(&listed).await;
         // Which of the two is asked first is left to chance; both orders end alike.
-        let got = ask(instance.callers, &Ask::new("r1", "/look/7")).await;
+        let got = send_request(instance.callers, &CallerRequest::new("r1", "/look/7")).await;
         let got = got.expect("an answer");
         assert_eq!(
             (got.status, got.sealed, got.body.as_str()),
@@ -121,19 +138,22 @@
 /// One endpoint is full and says that it has not run the order; another one has room.
 #[tokio::test]
 async fn an_order_that_was_turned_down_goes_elsewhere() {
-    let (one, two) = (Desk::start("d1").await, Desk::start("d2").await);
+    let (one, two) = (
+        PlainService::start("d1").await,
+        PlainService::start("d2").await,
+    );
     let (_store, instance) = deployment(&[&one, &two]).await;
     for (full, sound) in [(&one, &two), (&two, &one)] {
-        full.conduct(Conduct::Full);
-        sound.conduct(Conduct::Sound);
-        let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
+        full.set_behavior(ServiceBehavior::Rejecting);
+        sound.set_behavior(ServiceBehavior::Healthy);
+        let got = send_request(instance.callers, &CallerRequest::new("r1", "/order/7")).await;
         assert_eq!(got.expect("an answer").status, StatusCode::OK);
     }
     assert_eq!(one.ran().len() + two.ran().len(), 2);
     for desk in [&one, &two] {
-        desk.conduct(Conduct::Full);
+        desk.set_behavior(ServiceBehavior::Rejecting);
     }
-    let got = ask(instance.callers, &Ask::new("r3", "/order/7")).await;
+    let got = send_request(instance.callers, &CallerRequest::new("r3", "/order/7")).await;
     let got = got.expect("an answer");
     assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(got.retry_after.is_some());
@@ -144,11 +164,11 @@
 /// on, a caller would take another's booking for its own.
 #[tokio::test]
 async fn an_answer_that_may_be_anothers_is_not_passed_on() {
-    let desk = Desk::start("d1").await;
+    let desk = PlainService::start("d1").await;
     let (_store, instance) = deployment(&[&desk]).await;
-    for conduct in [Conduct::Confused, Conduct::Unsealed] {
-        desk.conduct(conduct);
-        let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
+    for conduct in [ServiceBehavior::WrongId, ServiceBehavior::Unsealed] {
+        desk.set_behavior(conduct);
+        let got = send_request(instance.callers, &CallerRequest::new("r1", "/order/7")).await;
         let got = got.expect("an answer");
         assert_eq!(got.status, StatusCode::BAD_GATEWAY, "{conduct:?}");
         assert!(!got.body.contains("done"), "{conduct:?}");
@@ -159,7 +179,7 @@
 /// serves those who come on open connections, and ends by itself.
 #[tokio::test]
 async fn a_stopped_instance_ends_after_its_last_request() {
-    let desk = Desk::start("d1").await;
+    let desk = PlainService::start("d1").await;
     let (_store, mut instance) = deployment(&[&desk]).await;
     instance.signal(rustix::process::Signal::TERM);
     let ready = instance.ready;
@@ -167,7 +187,7 @@
         !platform::standin::caller::is_ready(ready).await
     })
     .await;
-    let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
+    let got = send_request(instance.callers, &CallerRequest::new("r1", "/order/7")).await;
     assert_eq!(got.expect("an answer").status, StatusCode::OK);
     let mut ended = None;
     for _ in 0..2000 {
@@ -187,14 +207,14 @@
 /// desk ran must have been answered.
 #[tokio::test]
 async fn no_order_is_lost_in_the_last_moments() {
-    let desk = Desk::start("d1").await;
+    let desk = PlainService::start("d1").await;
     let (_store, mut instance) = deployment(&[&desk]).await;
-    desk.conduct(Conduct::Slow);
+    desk.set_behavior(ServiceBehavior::Slow);
     instance.signal(rustix::process::Signal::TERM);
     let mut answered = Vec::new();
     for number in 0..100_000 {
         let id = format!("r{number}");
-        let got = ask(instance.callers, &Ask::new(&id, "/order/7")).await;
+        let got = send_request(instance.callers, &CallerRequest::new(&id, "/order/7")).await;
         if got.is_some_and(|got| got.status == StatusCode::OK) {
             answered.push(id);
         }
--- a/crates/carawayhead/tests/forwarding/knowledge.rs
+++ b/crates/carawayhead/tests/forwarding/knowledge.rs
@@ -4,17 +4,17 @@
     crate::instance::{Instance, until},
     http::StatusCode,
     platform::standin::{
-        Desk, Store,
-        caller::{Ask, ask, config},
-        store::Mood,
+        PlainService, Store,
+        caller::{CallerRequest, config, send_request},
+        store::StoreBehavior,
     },
     std::time::Duration,
 };
 
 async fn status(instance: &Instance, key: &str) -> StatusCode {
-    let mut request = Ask::new("r1", "/order/7");
+    let mut request = CallerRequest::new("r1", "/order/7");
     request.key = key;
-    let got = ask(instance.callers, &request).await;
+    let got = send_request(instance.callers, &request).await;
     got.expect("an answer").status
 }
 
@@ -23,17 +23,17 @@
 #[tokio::test]
 async fn an_instance_without_a_configuration_refuses_for_now() {
     let store = Store::start().await;
-    store.set_mood(Mood::Busy);
-    let desk = Desk::start("d1").await;
-    store.operate("config", &config(1, &["key-1"], 5000));
-    store.list("d1", &desk.entry("desk", "a", "ready"));
+    store.set_behavior(StoreBehavior::Rejecting);
+    let desk = PlainService::start("d1").await;
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
+    store.write_endpoint_entry("d1", &desk.entry("desk", "a", "ready"));
     let instance = Instance::start_unready("e1", "a", &store).await;
     assert!(!platform::standin::caller::is_ready(instance.ready).await);
     assert_eq!(
         status(&instance, "key-1").await,
         StatusCode::SERVICE_UNAVAILABLE
     );
-    store.set_mood(Mood::Sound);
+    store.set_behavior(StoreBehavior::Healthy);
     until("it serves", || async {
         status(&instance, "key-1").await == StatusCode::OK
     })
@@ -45,12 +45,12 @@
 #[tokio::test]
 async fn keys_stop_working_when_they_cannot_be_proved() {
     let store = Store::start().await;
-    let desk = Desk::start("d1").await;
-    store.operate("config", &config(1, &["key-1"], 5000));
-    store.list("d1", &desk.entry("desk", "a", "ready"));
+    let desk = PlainService::start("d1").await;
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
+    store.write_endpoint_entry("d1", &desk.entry("desk", "a", "ready"));
     let instance = Instance::start("e1", "a", &store).await;
-    store.set_mood(Mood::Silent);
-    store.operate("config", &config(2, &[], 5000));
+    store.set_behavior(StoreBehavior::Unresponsive);
+    store.write_operator_record("config", &config(2, &[], 5000));
     until("keys stop working", || async {
         status(&instance, "key-1").await == StatusCode::SERVICE_UNAVAILABLE
     })
@@ -61,7 +61,7 @@
         StatusCode::SERVICE_UNAVAILABLE
     );
     assert_eq!(desk.ran().len(), ran);
-    store.set_mood(Mood::Sound);
+    store.set_behavior(StoreBehavior::Healthy);
     until("the key is known to be gone", || async {
         status(&instance, "key-1").await == StatusCode::UNAUTHORIZED
     })
@@ -73,19 +73,19 @@
 #[tokio::test]
 async fn lost_history_takes_nothing_back() {
     let store = Store::start().await;
-    let desk = Desk::start("d1").await;
-    store.list("d1", &desk.entry("desk", "a", "ready"));
-    store.operate("config", &config(1, &["key-1"], 5000));
-    store.operate("config", &config(2, &["key-2"], 5000));
+    let desk = PlainService::start("d1").await;
+    store.write_endpoint_entry("d1", &desk.entry("desk", "a", "ready"));
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
+    store.write_operator_record("config", &config(2, &["key-2"], 5000));
     let instance = Instance::start("e1", "a", &store).await;
     assert_eq!(status(&instance, "key-2").await, StatusCode::OK);
-    store.forget(1);
+    store.drop_history(1);
     for _ in 0..20 {
         assert_eq!(status(&instance, "key-2").await, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    store.forget(0);
-    store.operate("config", &config(3, &["key-3"], 5000));
+    store.drop_history(0);
+    store.write_operator_record("config", &config(3, &["key-3"], 5000));
     until("the new version is in force", || async {
         status(&instance, "key-3").await == StatusCode::OK
     })
@@ -98,16 +98,16 @@
 #[tokio::test]
 async fn two_instances_share_what_one_reads() {
     let store = Store::start().await;
-    let desk = Desk::start("d1").await;
-    store.operate("config", &config(1, &["key-1"], 5000));
-    store.list("d1", &desk.entry("desk", "a", "ready"));
+    let desk = PlainService::start("d1").await;
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
+    store.write_endpoint_entry("d1", &desk.entry("desk", "a", "ready"));
     let one = Instance::start("e1", "a", &store).await;
     let two = Instance::start("e2", "b", &store).await;
     let version = std::cell::Cell::new(1);
     until("records come from a fellow", || async {
         version.set(version.get() + 1);
         let key = format!("key-{}", version.get());
-        store.operate("config", &config(version.get(), &[&key], 5000));
+        store.write_operator_record("config", &config(version.get(), &[&key], 5000));
         for instance in [&one, &two] {
             until("the change is in force", || async {
                 status(instance, &key).await == StatusCode::OK
@@ -124,12 +124,12 @@
 #[tokio::test]
 async fn metrics_count_what_was_served() {
     let store = Store::start().await;
-    let desk = Desk::start("d1").await;
-    store.operate("config", &config(1, &["key-1"], 5000));
-    store.list("d1", &desk.entry("desk", "a", "ready"));
+    let desk = PlainService::start("d1").await;
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
+    store.write_endpoint_entry("d1", &desk.entry("desk", "a", "ready"));
     let instance = Instance::start("e1", "a", &store).await;
     assert_eq!(status(&instance, "key-1").await, StatusCode::OK);
-    let got = ask(instance.metrics, &Ask::new("m", "/metrics")).await;
+    let got = send_request(instance.metrics, &CallerRequest::new("m", "/metrics")).await;
     let text = got.expect("figures").body;
     for name in [
         "requests_ended",
@@ -147,7 +147,7 @@
 #[tokio::test]
 async fn changed_settings_are_taken_in() {
     let store = Store::start().await;
-    store.operate("config", &config(1, &["key-1"], 5000));
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
     let instance = Instance::start("e1", "a", &store).await;
     let text = std::fs::read_to_string(&instance.settings).expect("settings");
     std::fs::write(&instance.settings, &text[..text.len() / 2]).expect("a file");
@@ -171,7 +171,7 @@
 #[tokio::test]
 async fn a_dropped_instance_publishes_itself_again() {
     let store = Store::start().await;
-    store.operate("config", &config(1, &["key-1"], 5000));
+    store.write_operator_record("config", &config(1, &["key-1"], 5000));
     let _instance = Instance::start("e1", "a", &store).await;
     until("it is published", || async { store.instances() == ["e1"] }).await;
     store.drop_instance("e1");
--- a/crates/carawayhead/tests/forwarding/streams.rs
+++ b/crates/carawayhead/tests/forwarding/streams.rs
@@ -5,8 +5,8 @@
     http::StatusCode,
     platform::standin::{
         Engine, Store,
-        caller::{Ask, ask, config},
-        engine::World,
+        caller::{CallerRequest, config, send_request},
+        engine::SharedRuns,
     },
     std::{sync::Arc, time::Duration},
 };
@@ -17,7 +17,7 @@
     engines: Vec<Engine>,
     instance: Instance,
     store: Store,
-    world: Arc<World>,
+    world: Arc<SharedRuns>,
 }
 
 async fn deployment(engines: usize) -> Deployment {
@@ -31,13 +31,13 @@
 
 async fn deployment_of(engines: usize, events: u32, gap: Duration) -> Deployment {
     let store = Store::start().await;
-    store.operate("config", &config(1, &["key-1"], 30_000));
+    store.write_operator_record("config", &config(1, &["key-1"], 30_000));
     let world = Arc::default();
     let mut started = Vec::new();
     for number in 1..=engines {
         let id = format!("m{number}");
         let engine = Engine::start(&world, &id, events, gap).await;
-        store.list(&id, &engine.entry("model", "a", "ready"));
+        store.write_endpoint_entry(&id, &engine.entry("model", "a", "ready"));
         started.push(engine);
     }
     let instance = Instance::start("e1", "a", &store).await;
@@ -94,13 +94,15 @@
     for vanishes in [false, true] {
         let deployment = deployment(3).await;
         let callers = deployment.instance.callers;
-        let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
+        let stream = tokio::spawn(async move {
+            send_request(callers, &CallerRequest::new("r1", "/draft/7")).await
+        });
         let place = deployment.running_at().await;
         let id = format!("m{}", place + 1);
         let entry = deployment.engines[place].leaving_entry("model", "a");
         deployment
             .store
-            .list(&id, if vanishes { "" } else { &entry });
+            .write_endpoint_entry(&id, if vanishes { "" } else { &entry });
         until("another engine has the run", || async {
             let others = deployment.engines.iter().enumerate();
             let mut others = others.filter(|(other, _)| *other != place);
@@ -116,7 +118,7 @@
             "{vanishes}"
         );
         assert_whole(&got.body);
-        assert!(deployment.world.most_at_once() <= 2);
+        assert!(deployment.world.max_engines_per_run() <= 2);
     }
 }
 
@@ -126,7 +128,10 @@
 async fn a_stream_goes_on_when_its_engine_dies() {
     let deployment = deployment(3).await;
     let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
+    let stream =
+        tokio::spawn(
+            async move { send_request(callers, &CallerRequest::new("r1", "/draft/7")).await },
+        );
     let place = deployment.running_at().await;
     deployment.engines[place].crash();
     let got = stream.await.expect("a task").expect("an answer");
@@ -143,7 +148,10 @@
 async fn a_stream_whose_engine_falls_quiet_goes_on_at_its_copy() {
     let deployment = deployment(3).await;
     let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
+    let stream =
+        tokio::spawn(
+            async move { send_request(callers, &CallerRequest::new("r1", "/draft/7")).await },
+        );
     let place = deployment.running_at().await;
     deployment.engines[place].freeze();
     let got = stream.await.expect("a task").expect("an answer");
@@ -164,14 +172,17 @@
 async fn a_run_stops_when_another_engine_may_be_at_work_on_it() {
     let deployment = deployment(2).await;
     let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
+    let stream =
+        tokio::spawn(
+            async move { send_request(callers, &CallerRequest::new("r1", "/draft/7")).await },
+        );
     let place = deployment.running_at().await;
     let other = &deployment.engines[1 - place];
-    other.mute();
+    other.drop_responses();
     let engine = &deployment.engines[place];
     let id = format!("m{}", place + 1);
     let entry = engine.leaving_entry("model", "a");
-    deployment.store.list(&id, &entry);
+    deployment.store.write_endpoint_entry(&id, &entry);
     until("the engine has gone on with what it stopped", || async {
         let ran = engine.ran();
         ran.iter().any(|call| call.header("kv-from").is_some())
@@ -190,7 +201,10 @@
 async fn a_stream_waits_for_its_engine_when_the_copy_is_dead() {
     let deployment = deployment(3).await;
     let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
+    let stream =
+        tokio::spawn(
+            async move { send_request(callers, &CallerRequest::new("r1", "/draft/7")).await },
+        );
     let place = deployment.running_at().await;
     let sent = deployment.instance.lines_with("\"sent\"");
     let holder = (0..3).find(|engine| sent[0].contains(&format!("\"copy\":\"m{}\"", engine + 1)));
@@ -214,7 +228,10 @@
 async fn a_stream_that_cannot_go_on_does_not_look_whole() {
     let deployment = deployment(1).await;
     let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
+    let stream =
+        tokio::spawn(
+            async move { send_request(callers, &CallerRequest::new("r1", "/draft/7")).await },
+        );
     deployment.running_at().await;
     deployment.engines[0].crash();
     let got = stream.await.expect("a task").expect("an answer");
@@ -246,9 +263,9 @@
         ("/tag/7", events_behind(40)),
         ("/draft/7", events_behind(0)),
     ] {
-        let mut request = Ask::new(path, path);
+        let mut request = CallerRequest::new(path, path);
         request.extra.push(("last-event-id", "40"));
-        let got = ask(deployment.instance.callers, &request).await;
+        let got = send_request(deployment.instance.callers, &request).await;
         let got = got.expect("an answer");
         assert_eq!((got.status, got.complete), (StatusCode::OK, true), "{path}");
         assert_eq!(got.body, expected, "{path}");
@@ -265,12 +282,12 @@
         let callers = deployment.instance.callers;
         let stream = tokio::spawn(async move {
             let id = format!("r{number}");
-            let mut request = Ask::new(&id, "/tag/7");
+            let mut request = CallerRequest::new(&id, "/tag/7");
             request.extra.push(("carawayhead-length-hint", "40"));
             if first > 0 {
                 request.extra.push(("last-event-id", "20"));
             }
-            ask(callers, &request).await
+            send_request(callers, &request).await
         });
         let id = format!("r{number}");
         let place = deployment.serving(&id).await;
@@ -288,7 +305,10 @@
 async fn a_resumable_stream_begins_again_before_its_first_event() {
     let deployment = slow_deployment(2, Duration::from_millis(400)).await;
     let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/tag/7")).await });
+    let stream =
+        tokio::spawn(
+            async move { send_request(callers, &CallerRequest::new("r1", "/tag/7")).await },
+        );
     until("an engine has the run", || async {
         deployment
             .engines
--- a/crates/carawayhead/tests/soak/callers.rs
+++ b/crates/carawayhead/tests/soak/callers.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::deployment::EVENTS,
-    platform::standin::caller::{Ask, Got, Session},
+    platform::standin::caller::{CallerRequest, CallerResponse, Session},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
     std::{
         net::SocketAddr,
@@ -21,7 +21,7 @@
     pub began: Instant,
     pub ended: Instant,
     /// What came back; `None` if the connection ended before an answer.
-    pub got: Option<Got>,
+    pub got: Option<CallerResponse>,
     pub id: String,
     pub key: &'static str,
     pub path: &'static str,
@@ -63,12 +63,12 @@
         let id = format!("c{number}-{count}");
         let key = ["key-1", "key-2"][random.random_range(0..2)];
         let path = PATHS[random.random_range(0..PATHS.len())];
-        let mut ask = Ask::new(&id, path);
+        let mut ask = CallerRequest::new(&id, path);
         ask.key = key;
         ask.deadline_ms = 3000;
         let began = Instant::now();
         let got = match &mut session {
-            Some(session) => session.ask(&ask).await,
+            Some(session) => session.send(&ask).await,
             None => None,
         };
         if got.as_ref().is_none_or(|got| !got.complete) {
@@ -89,7 +89,7 @@
 
 /// Checks that the events of a stream are there once, in order, and all of them if it
 /// ended as complete.
-pub fn check_events(record: &Record, got: &Got) -> Result<(), String> {
+pub fn check_events(record: &Record, got: &CallerResponse) -> Result<(), String> {
     let ids = got
         .body
         .split("\n\n")
--- a/crates/carawayhead/tests/soak/deployment.rs
+++ b/crates/carawayhead/tests/soak/deployment.rs
@@ -6,9 +6,9 @@
         loopback::Loopback,
     },
     platform::standin::{
-        Desk, Engine, Store,
+        Engine, PlainService, Store,
         caller::{self, config},
-        engine::World,
+        engine::SharedRuns,
     },
     rustix::process::Signal,
     std::{sync::Arc, time::Duration},
@@ -61,7 +61,7 @@
 
 /// Everything that a soak runs against.
 pub struct Deployment {
-    pub desks: Vec<Placed<Desk>>,
+    pub desks: Vec<Placed<PlainService>>,
     pub engines: Vec<Placed<Engine>>,
     /// Engines and desks that are gone, with what they ran.
     pub gone: Vec<Engine>,
@@ -70,7 +70,7 @@
     pub store: Store,
     started: u32,
     version: u64,
-    world: Arc<World>,
+    world: Arc<SharedRuns>,
 }
 
 impl Deployment {
@@ -94,12 +94,12 @@
         }
         for domain in ["a", "b"] {
             let id = format!("desk-{domain}");
-            let mut server = Desk::start(&id).await;
+            let mut server = PlainService::start(&id).await;
             let proxy = Loopback::start(server.address).await;
             server.address = proxy.address;
             deployment
                 .store
-                .list(&id, &server.entry("desk", domain, "ready"));
+                .write_endpoint_entry(&id, &server.entry("desk", domain, "ready"));
             deployment.desks.push(Placed {
                 server,
                 proxy,
@@ -134,7 +134,7 @@
     pub fn publish(&mut self) {
         self.version += 1;
         self.store
-            .operate("config", &config(self.version, &self.keys, 10_000));
+            .write_operator_record("config", &config(self.version, &self.keys, 10_000));
     }
 
     /// Starts an engine and lists it.
@@ -144,9 +144,9 @@
         let gap = Duration::from_millis(15);
         let mut server = Engine::start(&self.world, &id, EVENTS, gap).await;
         let proxy = Loopback::start(server.address).await;
-        server.reached_at(proxy.address);
+        server.set_address(proxy.address);
         self.store
-            .list(&id, &server.entry("model", domain, "ready"));
+            .write_endpoint_entry(&id, &server.entry("model", domain, "ready"));
         self.engines.push(Placed {
             server,
             proxy,
@@ -159,7 +159,7 @@
     pub fn announce(&self, place: usize) {
         let engine = &self.engines[place];
         let entry = engine.server.leaving_entry("model", engine.domain);
-        self.store.list(&engine.id, &entry);
+        self.store.write_endpoint_entry(&engine.id, &entry);
     }
 
     /// An engine dies; another one takes its place under a new id.
@@ -167,7 +167,7 @@
         let engine = self.engines.remove(place);
         engine.server.crash();
         engine.proxy.reset();
-        self.store.list(&engine.id, "");
+        self.store.write_endpoint_entry(&engine.id, "");
         self.gone.push(engine.server);
         self.add_engine(engine.domain).await;
     }
--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -18,7 +18,7 @@
     http::StatusCode,
     platform::standin::{
         Engine,
-        caller::{Ask, ask},
+        caller::{CallerRequest, send_request},
     },
     rand::{SeedableRng as _, rngs::SmallRng},
     script::{Script, Theme},
@@ -131,7 +131,7 @@
     let desks = deployment.desks.iter().flat_map(|desk| desk.server.ran());
     let engines = deployment.engines.iter().map(|engine| &engine.server);
     let engines = engines.chain(&deployment.gone).flat_map(Engine::ran);
-    for call in desks.chain(engines).filter(|call| !call.goes_on()) {
+    for call in desks.chain(engines).filter(|call| !call.is_continuation()) {
         runs.entry(call.id().to_string()).or_default().push(call.at);
     }
     runs
@@ -226,7 +226,7 @@
             let mut status = None;
             for attempt in 0..40 {
                 let id = format!("{id}-{attempt}");
-                let got = ask(instance.callers, &Ask::new(&id, path)).await;
+                let got = send_request(instance.callers, &CallerRequest::new(&id, path)).await;
                 status = got.map(|got| got.status);
                 if status == Some(StatusCode::OK) {
                     break;
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -6,7 +6,7 @@
         deployment::{DOMAINS, Deployment},
         loopback::{Link, Loopback},
     },
-    platform::standin::{desk::Conduct, store::Mood},
+    platform::standin::{service::ServiceBehavior, store::StoreBehavior},
     rand::{RngExt as _, rngs::SmallRng},
     rustix::process::Signal,
     std::{
@@ -160,12 +160,15 @@
                 self.later(200, 3000, Undo::DeskLink(place));
             }
             5 => {
-                let mood = [Mood::Busy, Mood::Silent][self.random.random_range(0..2)];
-                deployment.store.set_mood(mood);
+                let mood = [StoreBehavior::Rejecting, StoreBehavior::Unresponsive]
+                    [self.random.random_range(0..2)];
+                deployment.store.set_behavior(mood);
                 self.later(200, 7000, Undo::Mood);
             }
             6 => {
-                deployment.store.forget(self.random.random_range(0..4));
+                deployment
+                    .store
+                    .drop_history(self.random.random_range(0..4));
                 self.later(500, 4000, Undo::Stale);
             }
             7 if !self.pending(|undo| matches!(undo, Undo::Leave(_))) => {
@@ -175,14 +178,14 @@
             8 => {
                 let place = self.random.random_range(0..deployment.desks.len());
                 let conducts = [
-                    Conduct::Confused,
-                    Conduct::Full,
-                    Conduct::Lost,
-                    Conduct::Slow,
-                    Conduct::Unsealed,
+                    ServiceBehavior::WrongId,
+                    ServiceBehavior::Rejecting,
+                    ServiceBehavior::NoAnswer,
+                    ServiceBehavior::Slow,
+                    ServiceBehavior::Unsealed,
                 ];
                 let conduct = conducts[self.random.random_range(0..conducts.len())];
-                deployment.desks[place].server.conduct(conduct);
+                deployment.desks[place].server.set_behavior(conduct);
                 self.later(200, 2000, Undo::Conduct(place));
             }
             _ => {}
@@ -255,12 +258,14 @@
         });
         for undo in due {
             match undo {
-                Undo::Conduct(place) => deployment.desks[place].server.conduct(Conduct::Sound),
+                Undo::Conduct(place) => deployment.desks[place]
+                    .server
+                    .set_behavior(ServiceBehavior::Healthy),
                 Undo::DeskLink(place) => deployment.desks[place].proxy.set(Link::Sound),
                 Undo::Domain(place) => deployment.store.set_domain(DOMAINS[place], false),
                 Undo::EngineLink(place) => deployment.engines[place].proxy.set(Link::Sound),
                 Undo::Leave(place) => deployment.replace(place).await,
-                Undo::Mood => deployment.store.set_mood(Mood::Sound),
+                Undo::Mood => deployment.store.set_behavior(StoreBehavior::Healthy),
                 Undo::Resume(place) => deployment.seats[place].signal(Signal::CONT),
                 Undo::Restart(place) => self.restart(deployment, place).await,
                 Undo::Stale => deployment.store.catch_up(),
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -185,7 +185,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub async fn part(&mut self) -> Result<Option<Bytes>, Error> {
+    pub async fn chunk(&mut self) -> Result<Option<Bytes>, Error> {
         while let Some(frame) = self.response.body_mut().frame().await {
             if let Ok(data) = frame.map_err(Error::Broken)?.into_data() {
                 return Ok(Some(data));
@@ -195,7 +195,7 @@
     }
 
     /// Hands the connection back once the body is read.
-    pub fn keep(self) {
+    pub fn release(self) {
         let stated = self.header("keep-alive").and_then(idle_timeout);
         let reuse = stated.map_or(REUSE, |stated| stated.mul_f64(REUSE_SHARE));
         self.client.put(&self.address, self.sending, reuse);
@@ -212,15 +212,15 @@
     /// # Errors
     ///
     /// The connection broke, or the body is larger.
-    pub async fn whole(mut self, most: usize) -> Result<Bytes, Error> {
+    pub async fn read_body(mut self, most: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
-        while let Some(part) = self.part().await? {
+        while let Some(part) = self.chunk().await? {
             if body.len() + part.len() > most {
                 return Err(Error::TooLarge);
             }
             body.extend_from_slice(&part);
         }
-        self.keep();
+        self.release();
         Ok(body.freeze())
     }
 }
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -21,7 +21,7 @@
 
 /// A generation to be started.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartRequest {
     /// The attempt, whose id becomes the generation's.
     pub attempt: Attempt,
     /// JSON body.
@@ -33,7 +33,7 @@
 }
 
 /// Starts a generation and reports its tokens until it ends.
-pub async fn start(client: Client, address: String, start: Start, events: Sender<Event>) {
+pub async fn start(client: Client, address: String, start: StartRequest, events: Sender<Event>) {
     let attempt = start.attempt;
     let request = Request::post(start.path)
         .header(http::header::HOST, &address)
@@ -46,7 +46,7 @@
         Ok(reply) => refused(reply, attempt).await,
         Err(error) => failed(attempt, &error),
     };
-    tell(&events, last).await;
+    send_event(&events, last).await;
 }
 
 /// Reads a running generation again from token `next` on.
@@ -71,7 +71,7 @@
         Ok(_) => Event::Failed(attempt, Failure::Forgotten),
         Err(_) => Event::Failed(attempt, Failure::Unreachable),
     };
-    tell(&events, last).await;
+    send_event(&events, last).await;
 }
 
 /// Cancels a generation, or only if no connection reads it.
@@ -81,7 +81,7 @@
         .header(http::header::HOST, &address)
         .body(Full::default());
     match begin(&client, &address, request).await {
-        Ok(reply) => reply.keep(),
+        Ok(reply) => reply.release(),
         Err(error) => log::info!(generation:%, error:%; "cancel did not arrive"),
     }
 }
@@ -110,7 +110,7 @@
         .body(Full::default());
     let asked = async {
         let reply = begin(client, address, request).await?;
-        reply.whole(MOST_ANSWER).await
+        reply.read_body(MOST_ANSWER).await
     };
     let body = timeout(wait, asked).await.unwrap_or(Err(Error::Silent))?;
     let load = serde_json::from_slice::<Load>(&body).map_err(|error| {
@@ -156,7 +156,7 @@
     let mut parser = Parser::default();
     let mut next = next;
     loop {
-        let parsed = match reply.part().await {
+        let parsed = match reply.chunk().await {
             Ok(Some(part)) => parser.feed(part),
             Ok(None) => return Event::Failed(attempt, Failure::Broken),
             Err(error) => Err(error),
@@ -166,13 +166,13 @@
         };
         for event in parsed {
             if event.data == DONE {
-                while let Ok(Some(_)) = reply.part().await {}
-                reply.keep();
+                while let Ok(Some(_)) = reply.chunk().await {}
+                reply.release();
                 return Event::Ended(attempt, next);
             }
             let index = event.index.unwrap_or(next);
             next = index + 1;
-            tell(events, Event::Token(attempt, index, event.data)).await;
+            send_event(events, Event::Token(attempt, index, event.data)).await;
         }
     }
 }
@@ -186,7 +186,7 @@
     ) {
         return Event::Failed(attempt, Failure::NotRun(Evidence::EndpointRefused));
     }
-    match reply.whole(MOST_ANSWER).await {
+    match reply.read_body(MOST_ANSWER).await {
         Ok(body) => Event::Answered(
             attempt,
             Answer {
@@ -205,7 +205,7 @@
 }
 
 /// Tells the loop; if it has ended there is nobody left to tell.
-pub async fn tell(events: &Sender<Event>, event: Event) {
+pub async fn send_event(events: &Sender<Event>, event: Event) {
     if events.send(event).await.is_err() {
         log::debug!("the loop has ended");
     }
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod service;
 pub mod sse;
 
-pub use {client::Client, engine::tell, error::Error};
+pub use {client::Client, engine::send_event, error::Error};
--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -1,7 +1,7 @@
 //! Calls of plain services.
 
 use crate::{
-    engine::{TIMEOUT, seconds, tell},
+    engine::{TIMEOUT, seconds, send_event},
     prelude::*,
 };
 
@@ -45,7 +45,7 @@
             Event::Failed(attempt, Failure::Broken)
         }
     };
-    tell(&events, event).await;
+    send_event(&events, event).await;
 }
 
 /// Whether an answer asks to try elsewhere.
@@ -75,7 +75,7 @@
         client.send_new(address, request).await?
     };
     let (status, media) = (reply.status().as_u16(), reply.media());
-    let body = reply.whole(MOST_ANSWER).await?;
+    let body = reply.read_body(MOST_ANSWER).await?;
     Ok(Answer {
         body,
         media,
--- a/crates/endpoint/src/sse.rs
+++ b/crates/endpoint/src/sse.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 /// Largest event taken, in bytes.
-pub const MOST: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -16,16 +16,16 @@
 
 /// Cuts a byte stream into the blocks of events, each with its empty line.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     rest: BytesMut,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Takes a part of the stream in and returns the blocks it completes, as written.
     ///
     /// # Errors
     ///
-    /// A block is larger than [`MOST`].
+    /// A block is larger than [`MAX_EVENT_BYTES`].
     pub fn feed(&mut self, part: Bytes) -> Result<Vec<Bytes>, Error> {
         let mut part = if self.rest.is_empty() {
             part
@@ -37,7 +37,7 @@
         while let Some(end) = end(&part) {
             blocks.push(part.split_to(end));
         }
-        if part.len() > MOST {
+        if part.len() > MAX_EVENT_BYTES {
             return Err(Error::TooLarge);
         }
         self.rest.extend_from_slice(&part);
@@ -46,14 +46,14 @@
 
     /// Whether part of a block is left over.
     #[must_use]
-    pub fn unfinished(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.rest.is_empty()
     }
 }
 
 /// The `id` of a block, if it has one.
 #[must_use]
-pub fn id(block: &[u8]) -> Option<&str> {
+pub fn event_id(block: &[u8]) -> Option<&str> {
     let mut lines = block.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| field(line, b"id:"))?;
     let value = value.strip_suffix(b"\r").unwrap_or(value);
@@ -63,7 +63,7 @@
 /// Cuts a byte stream into events.
 #[derive(Debug, Default)]
 pub struct Parser {
-    cutter: Cutter,
+    cutter: EventSplitter,
 }
 
 impl Parser {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// An event is larger than [`MOST`].
+    /// An event is larger than [`MAX_EVENT_BYTES`].
     pub fn feed(&mut self, part: Bytes) -> Result<Vec<Event>, Error> {
         let blocks = self.cutter.feed(part)?;
         Ok(blocks.iter().filter_map(parse).collect())
--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -6,13 +6,13 @@
     platform::{
         instance::{self, Entry},
         list, records,
-        records::Order,
-        store::{Keyed, Topic},
+        records::OperatorRecord,
+        store::{KeyedRecord, Topic},
     },
 };
 
 /// Takes the newest record of each key in; keys that are not among them are gone.
-pub fn all(shared: &Shared, topic: Topic, records: &[Keyed]) {
+pub fn all(shared: &Shared, topic: Topic, records: &[KeyedRecord]) {
     match topic {
         Topic::Endpoints => drop_unlisted(shared, records),
         Topic::Operators => take_back(shared, records),
@@ -24,7 +24,7 @@
 }
 
 /// Takes one record in.
-pub fn one(shared: &Shared, topic: Topic, record: &Keyed) {
+pub fn one(shared: &Shared, topic: Topic, record: &KeyedRecord) {
     match topic {
         Topic::Endpoints => entry(shared, record),
         Topic::Instances => fellow(shared, record),
@@ -32,7 +32,7 @@
     }
 }
 
-fn drop_unlisted(shared: &Shared, records: &[Keyed]) {
+fn drop_unlisted(shared: &Shared, records: &[KeyedRecord]) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     for id in state.listed() {
@@ -45,7 +45,7 @@
 
 /// Instances whose entry is gone are forgotten. If it is the own one, it is written again:
 /// fellows that have not heard of an instance do not let it in.
-fn forget_unlisted(shared: &Shared, records: &[Keyed]) {
+fn forget_unlisted(shared: &Shared, records: &[KeyedRecord]) {
     let listed = |name: &str| records.iter().any(|record| record.key == name);
     let own = &shared.settings.instance.name;
     if !listed(own) {
@@ -60,11 +60,11 @@
 }
 
 /// Failure domains whose record is gone are in again.
-fn take_back(shared: &Shared, records: &[Keyed]) {
+fn take_back(shared: &Shared, records: &[KeyedRecord]) {
     let out = records
         .iter()
-        .filter_map(|record| match records::order(record) {
-            Ok(Order::Domain(domain, true)) => Some(domain),
+        .filter_map(|record| match records::decode_operator_record(record) {
+            Ok(OperatorRecord::Domain(domain, true)) => Some(domain),
             _ => None,
         })
         .collect::<Vec<_>>();
@@ -77,7 +77,7 @@
     }
 }
 
-fn entry(shared: &Shared, record: &Keyed) {
+fn entry(shared: &Shared, record: &KeyedRecord) {
     let (change, error) = list::change(record);
     match (&change, error) {
         (_, Some(error)) => {
@@ -95,7 +95,7 @@
     shared.state.borrow_mut().change(clock::now(), change);
 }
 
-fn fellow(shared: &Shared, record: &Keyed) {
+fn fellow(shared: &Shared, record: &KeyedRecord) {
     match instance::decode(record) {
         Ok(entry) => {
             let address = entry.as_ref().map(|entry| entry.address);
@@ -134,19 +134,19 @@
     }
 }
 
-fn order(shared: &Shared, record: &Keyed) {
-    match records::order(record) {
+fn order(shared: &Shared, record: &KeyedRecord) {
+    match records::decode_operator_record(record) {
         Err(error) => {
             log::error!(key = record.key, offset = record.offset, error:%; "record of no use");
         }
-        Ok(Order::Unknown(key)) => {
+        Ok(OperatorRecord::Unknown(key)) => {
             log::info!(key, offset = record.offset; "record of an unknown kind");
         }
-        Ok(Order::Domain(domain, out)) => {
+        Ok(OperatorRecord::Domain(domain, out)) => {
             let changed = shared.state.borrow_mut().set_domain(&domain, out);
             log::info!(domain, out, changed, offset = record.offset; "failure domain set");
         }
-        Ok(Order::Configure(config)) => {
+        Ok(OperatorRecord::Configure(config)) => {
             let (version, routes) = (config.version, config.routes());
             let taken = shared.state.borrow_mut().configure(*config);
             log::info!(version, routes, taken, offset = record.offset; "configuration read");
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -3,14 +3,14 @@
 use {
     crate::{clock, prelude::*},
     http_body_util::Full,
-    platform::head::{self, Directions, Source, Verdict},
+    platform::head::{self, ForwardingHeaders, KvSource, ResponseFlags},
 };
 
 /// What came of a send.
 #[derive(Debug)]
 pub enum Sent {
     /// The endpoint answered; the body has not been read.
-    Answer(endpoint::client::Reply, Verdict),
+    Answer(endpoint::client::Reply, ResponseFlags),
     /// Nothing was written.
     NotWritten(String),
     /// It may have been run: why nobody knows.
@@ -42,7 +42,7 @@
     /// Id of the last event that the caller has, if the stream goes on behind it.
     pub last_event: Option<&'a str>,
     /// Where a run that goes on comes from.
-    pub source: Option<&'a Source>,
+    pub source: Option<&'a KvSource>,
 }
 
 /// Sends a request and waits for the head of the answer, until the caller gives up or
@@ -58,7 +58,7 @@
     };
     let left = destination.expires.since(clock::now());
     let backup = destination.backup.and_then(|key| shared.target(key));
-    let directions = Directions {
+    let directions = ForwardingHeaders {
         backup: backup.map(|(address, _)| address),
         customer: destination.customer,
         endpoint: &endpoint,
@@ -114,7 +114,7 @@
         Ok(Err(error)) if error.unwritten() => Sent::NotWritten(error.to_string()),
         Ok(Err(error)) => Sent::Unknown(error.to_string()),
         Ok(Ok(reply)) => {
-            let verdict = head::verdict(reply.status(), reply.headers(), id);
+            let verdict = head::response_flags(reply.status(), reply.headers(), id);
             if !verdict.matches {
                 // A late second answer to an earlier request. The one that belongs here
                 // may follow it, but this connection cannot be trusted any more.
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -11,7 +11,7 @@
         aggregate::members::Role,
         reader::{Cause, ENOUGH, ENOUGH_INSTANCES, Own},
     },
-    platform::store::{Keyed, Topic},
+    platform::store::{KeyedRecord, Topic},
     rand::RngExt as _,
 };
 
@@ -252,7 +252,7 @@
 
 /// Takes records from an offset on in, apart from those that are known already; returns
 /// the offset after the last one known.
-pub fn take(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) -> u64 {
+pub fn take(shared: &Shared, topic: Topic, from: u64, records: &[KeyedRecord]) -> u64 {
     let progress = shared.topic(topic);
     let mut position = progress.position.get().unwrap_or(from);
     if from > position {
--- a/crates/proxy/src/gossip/history.rs
+++ b/crates/proxy/src/gossip/history.rs
@@ -1,6 +1,6 @@
 //! The last records of a topic, for members that lack some.
 
-use {crate::prelude::*, platform::store::Keyed, std::collections::VecDeque};
+use {crate::prelude::*, platform::store::KeyedRecord, std::collections::VecDeque};
 
 /// Bytes of records of a topic that are kept for members which lack some.
 pub const MOST_KEPT: usize = 128 << 10;
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub struct History {
     bytes: usize,
-    records: VecDeque<Keyed>,
+    records: VecDeque<KeyedRecord>,
     /// Offset after the last record.
     next: u64,
     /// When each member was sent what it lacks, sorted by name.
@@ -22,7 +22,7 @@
 impl History {
     /// Takes records in that begin at an offset; those before it are dropped if some are
     /// missing between.
-    pub fn add(&mut self, from: u64, records: &[Keyed]) {
+    pub fn add(&mut self, from: u64, records: &[KeyedRecord]) {
         if from > self.next {
             self.records.clear();
             self.bytes = 0;
@@ -43,7 +43,7 @@
 
     /// The records from an offset on, unless some of them are not kept.
     #[must_use]
-    pub fn since(&self, from: u64) -> Option<Vec<Keyed>> {
+    pub fn since(&self, from: u64) -> Option<Vec<KeyedRecord>> {
         let first = self.records.front()?.offset;
         if from < first || from >= self.next {
             return None;
@@ -66,6 +66,6 @@
     }
 }
 
-fn size(record: &Keyed) -> usize {
+fn size(record: &KeyedRecord) -> usize {
     record.key.len() + record.value.as_ref().map_or(0, Bytes::len)
 }
--- a/crates/proxy/src/gossip/records.rs
+++ b/crates/proxy/src/gossip/records.rs
@@ -9,12 +9,12 @@
         topic,
     },
     forward::aggregate::members::Role,
-    platform::store::{Keyed, Topic},
+    platform::store::{KeyedRecord, Topic},
 };
 
 /// Passes records on that this instance has read: to all fellows if they are few, else to
 /// aggregators and, as one, to members.
-pub fn pass_on(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
+pub fn pass_on(shared: &Shared, topic: Topic, from: u64, records: &[KeyedRecord]) {
     let names = shared.links().into_iter().map(|link| {
         let state = shared.state.borrow();
         state.members.name(link.key).to_string()
@@ -38,7 +38,7 @@
         // Nothing is known yet; the first read brings them.
         return;
     };
-    let records = batch.records.into_iter().map(|record| Keyed {
+    let records = batch.records.into_iter().map(|record| KeyedRecord {
         key: record.key,
         offset: record.offset,
         value: record.value.map(Bytes::from),
@@ -61,7 +61,7 @@
 }
 
 /// Keeps records for members that lack some; only an aggregator needs to.
-pub fn keep(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) {
+pub fn keep(shared: &Shared, topic: Topic, from: u64, records: &[KeyedRecord]) {
     let mut history = shared.history[topic::index(topic)].borrow_mut();
     if role(shared) == Role::Aggregator {
         history.add(from, records);
@@ -89,7 +89,7 @@
     }
 }
 
-fn send(shared: &Shared, topic: Topic, from: u64, records: &[Keyed], mut names: Vec<String>) {
+fn send(shared: &Shared, topic: Topic, from: u64, records: &[KeyedRecord], mut names: Vec<String>) {
     let raw = records.iter().map(|record| RawRecord {
         key: record.key.clone(),
         offset: record.offset,
--- a/crates/proxy/src/inquire.rs
+++ b/crates/proxy/src/inquire.rs
@@ -52,11 +52,11 @@
 }
 
 async fn answer(shared: &Shared, address: SocketAddr) -> Result<bool, String> {
-    let request = engine::ask(address).map_err(|error| error.to_string())?;
+    let request = engine::report_request(address).map_err(|error| error.to_string())?;
     let answer = shared.client.send(&address.to_string(), request).await;
     let answer = answer.map_err(|error| error.to_string())?;
     let status = answer.status();
-    let body = answer.whole(MOST_ANSWER).await;
+    let body = answer.read_body(MOST_ANSWER).await;
     let body = body.map_err(|error| error.to_string())?;
-    engine::leaves(status, &body).map_err(|error| error.to_string())
+    engine::is_leaving(status, &body).map_err(|error| error.to_string())
 }
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -14,7 +14,7 @@
         choice::{Need, Pick},
         request::Ticket,
     },
-    platform::head::{self, Verdict},
+    platform::head::{self, ResponseFlags},
 };
 
 /// Largest answer that is taken in whole, in bytes.
@@ -38,7 +38,7 @@
     body: Bytes,
     headers: http::HeaderMap,
     status: StatusCode,
-    verdict: Verdict,
+    verdict: ResponseFlags,
 }
 
 /// Why there is no answer.
@@ -134,8 +134,8 @@
         match exchange::send(shared, original, &destination, limit).await {
             Sent::Answer(reply, verdict) => {
                 let status = reply.status();
-                let headers = head::answer(reply.headers());
-                let body = reply.whole(MOST_ANSWER).await;
+                let headers = head::response_headers(reply.headers());
+                let body = reply.read_body(MOST_ANSWER).await;
                 Ok(Whole {
                     body: body.map_err(|error| unknown(error.to_string()))?,
                     headers,
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -274,7 +274,7 @@
         tokio::select! {
             biased;
             () = self.out.closed() => Step::CallerLeft,
-            part = self.source.answer.part() => self.events(part),
+            part = self.source.answer.chunk() => self.events(part),
             moved = ended(moving) => Step::Moved(moved),
             () = sleep(wait) => match quiet {
                 _ if wait == left => Step::Expired,
@@ -293,7 +293,7 @@
     fn events(&mut self, part: Result<Option<Bytes>, endpoint::Error>) -> Step {
         match part {
             Err(error) => Step::Lost(error.to_string()),
-            Ok(None) if self.source.cutter.unfinished() => {
+            Ok(None) if self.source.cutter.has_partial_event() => {
                 Step::Lost("ended inside an event".to_string())
             }
             Ok(None) => Step::Ended,
@@ -306,7 +306,7 @@
 
     async fn pass_on(&mut self, blocks: Vec<Bytes>) -> Result<(), Ending> {
         for block in blocks {
-            if !self.sequence.take(sse::id(&block)) {
+            if !self.sequence.take(sse::event_id(&block)) {
                 continue;
             }
             if self.sequence.broken() {
--- a/crates/proxy/src/relay/loss.rs
+++ b/crates/proxy/src/relay/loss.rs
@@ -62,7 +62,7 @@
 
     /// Reads what a stopped run had still sent.
     async fn last_events(&mut self) -> Result<(), Ending> {
-        while let Ok(Ok(Some(part))) = timeout(LAST_EVENTS, self.source.answer.part()).await {
+        while let Ok(Ok(Some(part))) = timeout(LAST_EVENTS, self.source.answer.chunk()).await {
             let Ok(blocks) = self.source.cutter.feed(part) else {
                 break;
             };
--- a/crates/proxy/src/relocate.rs
+++ b/crates/proxy/src/relocate.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{clock, gossip, prelude::*},
-    platform::engine::{self, Move},
+    platform::engine::{self, MoveResult},
 };
 
 /// Longest time for a copy: 4,000 tokens take 0.44 s between failure domains, and
@@ -68,17 +68,17 @@
         let result = call(shared, &ends, id, false, MOVE_WAIT).await;
         log::info!(id, ms = clock::now().since(began).as_millis(), result:?; "copied");
         return match result {
-            Ok(Move::Copied { handle, .. }) => Moved::Ready(Takeover {
+            Ok(MoveResult::Copied { handle, .. }) => Moved::Ready(Takeover {
                 address: ends.source,
                 handle,
                 key: ends.target_key,
             }),
-            Ok(Move::Refused(_)) => {
+            Ok(MoveResult::Refused(_)) => {
                 tried.push(ends.target_key);
                 continue;
             }
-            Ok(Move::NoRun) => Moved::NotYet("engine does not have the run".to_string()),
-            Ok(Move::Busy) => Moved::NotYet("a move is under way".to_string()),
+            Ok(MoveResult::NoRun) => Moved::NotYet("engine does not have the run".to_string()),
+            Ok(MoveResult::Busy) => Moved::NotYet("a move is under way".to_string()),
             Err(why) => Moved::NotYet(why),
         };
     }
@@ -97,8 +97,8 @@
     let result = call(shared, &ends, id, true, STOP_WAIT).await;
     log::info!(id, result:?; "asked a silent engine");
     match result {
-        Ok(Move::Busy) => Stop::Busy,
-        Ok(Move::Copied { handle, .. }) => Stop::Stopped(Takeover {
+        Ok(MoveResult::Busy) => Stop::Busy,
+        Ok(MoveResult::Copied { handle, .. }) => Stop::Stopped(Takeover {
             address: ends.source,
             handle,
             key: if stays {
@@ -107,12 +107,12 @@
                 ends.target_key
             },
         }),
-        Ok(Move::Refused(Some(handle))) => Stop::Stopped(Takeover {
+        Ok(MoveResult::Refused(Some(handle))) => Stop::Stopped(Takeover {
             address: ends.source,
             handle,
             key: ends.source_key,
         }),
-        Ok(Move::NoRun | Move::Refused(None)) => Stop::Gone,
+        Ok(MoveResult::NoRun | MoveResult::Refused(None)) => Stop::Gone,
         Err(_) => Stop::Unreachable,
     }
 }
@@ -151,9 +151,10 @@
     id: &str,
     stop: bool,
     wait: Duration,
-) -> Result<Move, String> {
+) -> Result<MoveResult, String> {
     let (source, target) = (ends.source, ends.target);
-    let request = engine::move_run(source, id, target, stop).map_err(|error| error.to_string())?;
+    let request =
+        engine::move_request(source, id, target, stop).map_err(|error| error.to_string())?;
     let asked = async {
         let address = source.to_string();
         let answer = if stop {
@@ -163,9 +164,9 @@
         };
         let answer = answer.map_err(|error| error.to_string())?;
         let status = answer.status();
-        let body = answer.whole(MOST_ANSWER).await;
+        let body = answer.read_body(MOST_ANSWER).await;
         let body = body.map_err(|error| error.to_string())?;
-        engine::moved(status, &body).map_err(|error| error.to_string())
+        engine::move_result(status, &body).map_err(|error| error.to_string())
     };
     timeout(wait, asked)
         .await
--- a/crates/proxy/src/reply.rs
+++ b/crates/proxy/src/reply.rs
@@ -93,7 +93,7 @@
 #[must_use]
 pub fn refusal(refusal: Refusal, id: &str) -> Reply {
     let mut reply = empty(status(refusal));
-    head::own_answer(reply.headers_mut(), id, refusal.retry_after());
+    head::set_local_reply_headers(reply.headers_mut(), id, refusal.retry_after());
     reply
 }
 
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -12,7 +12,7 @@
         shared::Running,
         transfer,
     },
-    endpoint::sse::Cutter,
+    endpoint::sse::EventSplitter,
     forward::{choice::Need, prelude::Run, request::Ticket},
     platform::head,
     tokio::sync::mpsc,
@@ -220,11 +220,11 @@
 
 /// Reads until an event is whole.
 async fn first_event(shared: &Shared, key: EndpointKey, answer: endpoint::client::Reply) -> Opened {
-    let headers = head::answer(answer.headers());
+    let headers = head::response_headers(answer.headers());
     let mut answer = answer;
-    let mut cutter = Cutter::default();
+    let mut cutter = EventSplitter::default();
     loop {
-        let part = match answer.part().await {
+        let part = match answer.chunk().await {
             Ok(part) => part,
             Err(error) => return fail(shared, key, error.to_string()),
         };
@@ -261,8 +261,8 @@
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
         return fail(shared, key, format!("improper answer with {status}"));
     }
-    let headers = head::answer(answer.headers());
-    match answer.whole(endpoint::sse::MOST).await {
+    let headers = head::response_headers(answer.headers());
+    match answer.read_body(endpoint::sse::MAX_EVENT_BYTES).await {
         Ok(body) => Opened::Answer(reply::whole(status, headers, body)),
         Err(error) => fail(shared, key, error.to_string()),
     }
--- a/crates/proxy/src/transfer.rs
+++ b/crates/proxy/src/transfer.rs
@@ -7,7 +7,7 @@
         prelude::*,
         relocate::{self, Moved, Takeover},
     },
-    endpoint::sse::Cutter,
+    endpoint::sse::EventSplitter,
     forward::request::Ticket,
     platform::head,
 };
@@ -25,7 +25,7 @@
     /// The answer, whose body is read on.
     pub answer: endpoint::client::Reply,
     /// Cuts the body into events.
-    pub cutter: Cutter,
+    pub cutter: EventSplitter,
     /// The engine.
     pub key: EndpointKey,
 }
@@ -127,7 +127,7 @@
     ///
     /// It refused, or did not answer.
     pub async fn open(&self, takeover: &Takeover, why: &str) -> Result<Opened, Failure> {
-        let source = head::Source {
+        let source = head::KvSource {
             address: takeover.address,
             handle: takeover.handle.clone(),
         };
@@ -146,7 +146,7 @@
     async fn ask(
         &self,
         key: EndpointKey,
-        source: Option<&head::Source>,
+        source: Option<&head::KvSource>,
         why: &str,
     ) -> Result<Opened, Failure> {
         let began = clock::now();
@@ -170,7 +170,7 @@
                     backup,
                     source: Source {
                         answer,
-                        cutter: Cutter::default(),
+                        cutter: EventSplitter::default(),
                         key,
                     },
                 })
--- a/crates/proxy/tests/history.rs
+++ b/crates/proxy/tests/history.rs
@@ -3,24 +3,24 @@
 use {
     bytes::Bytes,
     decision::time::Time,
-    platform::store::Keyed,
+    platform::store::KeyedRecord,
     proxy::gossip::history::{History, MOST_KEPT},
     std::time::Duration,
 };
 
-fn record(offset: u64, bytes: usize) -> Keyed {
-    Keyed {
+fn record(offset: u64, bytes: usize) -> KeyedRecord {
+    KeyedRecord {
         key: format!("k{offset}"),
         offset,
         value: Some(Bytes::from(vec![0; bytes])),
     }
 }
 
-fn records(from: u64, to: u64) -> Vec<Keyed> {
+fn records(from: u64, to: u64) -> Vec<KeyedRecord> {
     (from..to).map(|offset| record(offset, 10)).collect()
 }
 
-fn offsets(records: Option<Vec<Keyed>>) -> Option<Vec<u64>> {
+fn offsets(records: Option<Vec<KeyedRecord>>) -> Option<Vec<u64>> {
     records.map(|records| records.iter().map(|record| record.offset).collect())
 }
 
--- a/crates/streamlog/src/codec.rs
+++ b/crates/streamlog/src/codec.rs
@@ -16,13 +16,13 @@
 
 /// Puts the parts of snapshots together as they are read.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct SnapshotAssembler {
     data: Vec<u8>,
     id: u128,
     next: u32,
 }
 
-impl Assembly {
+impl SnapshotAssembler {
     /// Takes the next record of the stream in; returns the snapshot it completes.
     ///
     /// Parts of one snapshot follow each other in order, possibly among those of
@@ -31,7 +31,7 @@
     /// # Errors
     ///
     /// The record is no part, or the snapshot cannot be decoded.
-    pub fn take(&mut self, data: &[u8]) -> Result<Option<Snapshot>, Error> {
+    pub fn push(&mut self, data: &[u8]) -> Result<Option<Snapshot>, Error> {
         let part = postcard::from_bytes::<Part>(data).map_err(|error| record_error(&error))?;
         if part.index == 0 {
             *self = Self {
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// The codec failed, which only a bug can cause.
-pub fn split(snapshot: &Snapshot, id: u128) -> Result<Vec<Bytes>, Error> {
+pub fn encode_snapshot(snapshot: &Snapshot, id: u128) -> Result<Vec<Bytes>, Error> {
     let data = postcard::to_stdvec(snapshot).map_err(|error| record_error(&error))?;
     let count = u32::try_from(data.len().div_ceil(PART)).unwrap_or(u32::MAX);
     let mut parts = Vec::new();
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// The codec failed, which only a bug can cause.
-pub fn encode(batch: &Batch) -> Result<Bytes, Error> {
+pub fn encode_batch(batch: &Batch) -> Result<Bytes, Error> {
     let encoded = postcard::to_stdvec(batch);
     encoded
         .map(Bytes::from)
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// The record was not written by [`encode`].
-pub fn decode(data: &[u8]) -> Result<Batch, Error> {
+/// The record was not written by [`encode_batch`].
+pub fn decode_batch(data: &[u8]) -> Result<Batch, Error> {
     postcard::from_bytes(data).map_err(|error| record_error(&error))
 }
--- a/crates/streamlog/src/list.rs
+++ b/crates/streamlog/src/list.rs
@@ -73,7 +73,7 @@
             let reply = self.client.send(&self.address, request).await?;
             let status = reply.status();
             let tag = reply.header("etag").map(str::to_string);
-            Ok((status, tag, reply.whole(MOST).await?))
+            Ok((status, tag, reply.read_body(MOST).await?))
         };
         let (status, tag, body) = timeout(WAIT, asked).await.unwrap_or(Err(Error::Silent))?;
         match status {
--- a/crates/streamlog/src/stream.rs
+++ b/crates/streamlog/src/stream.rs
@@ -6,7 +6,7 @@
 const APPEND_WAIT: Duration = Duration::from_secs(2);
 
 /// Time the log may hold a read open when there is nothing new.
-pub const READ_HOLD: Duration = Duration::from_millis(500);
+pub const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a read may take beyond the time it is held open.
 const READ_WAIT: Duration = Duration::from_secs(2);
@@ -27,7 +27,7 @@
 
 /// A record as it stands in a stream.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct LogRecord {
     /// When the log took it, by the log's clock.
     pub at: Wall,
     /// Content.
@@ -38,9 +38,9 @@
 
 /// A part of a stream.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct RecordBatch {
     /// When the read was asked for.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// Lowest offset that the log still keeps.
     pub first: u64,
     /// The offset that the next record will get.
@@ -48,7 +48,7 @@
     /// The log's clock.
     pub now: Wall,
     /// Records in order.
-    pub records: Vec<Entry>,
+    pub records: Vec<LogRecord>,
 }
 
 #[derive(Deserialize)]
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// See [`settled`] for whether the record may stand in the log all the same.
+    /// See [`append_result`] for whether the record may stand in the log all the same.
     pub async fn append(&self, data: Bytes) -> Result<u64, Error> {
         let request = Request::post(format!("/streams/{}/records", self.name))
             .header(HOST, &self.address)
@@ -90,8 +90,8 @@
     /// # Errors
     ///
     /// The log cannot be reached or its answer cannot be read.
-    pub async fn read(&self, from: u64, hold: Duration) -> Result<Part, Error> {
-        let asked = Instant::now();
+    pub async fn read(&self, from: u64, hold: Duration) -> Result<RecordBatch, Error> {
+        let requested_at = Instant::now();
         let millis = hold.as_millis();
         let path = format!(
             "/streams/{}/records?from={from}&wait_ms={millis}",
@@ -107,14 +107,14 @@
             let data = BASE64_STANDARD
                 .decode(&entry.data)
                 .map_err(|error| Error::Record(error.to_string()))?;
-            records.push(Entry {
+            records.push(LogRecord {
                 at: Wall(entry.at),
                 data: data.into(),
                 offset: entry.offset,
             });
         }
-        Ok(Part {
-            asked,
+        Ok(RecordBatch {
+            requested_at,
             first: raw.first,
             next: raw.next,
             now: Wall(raw.now),
@@ -128,23 +128,23 @@
         wait: Duration,
         most: usize,
     ) -> Result<Bytes, Error> {
-        let asked = async {
+        let exchange = async {
             let reply = self.client.send(&self.address, request).await?;
             let status = reply.status();
-            let body = reply.whole(most).await?;
+            let body = reply.read_body(most).await?;
             if status == StatusCode::OK {
                 Ok(body)
             } else {
                 Err(Error::Status(status))
             }
         };
-        timeout(wait, asked).await.unwrap_or(Err(Error::Silent))
+        timeout(wait, exchange).await.unwrap_or(Err(Error::Silent))
     }
 }
 
 /// What is known of an append's effect.
 #[must_use]
-pub fn settled(result: &Result<u64, Error>) -> AppendResult {
+pub fn append_result(result: &Result<u64, Error>) -> AppendResult {
     match result {
         Ok(_) => AppendResult::Done,
         Err(Error::Endpoint(error)) if error.unwritten() => AppendResult::Refused,
--- a/crates/streamlog/tests/codec.rs
+++ b/crates/streamlog/tests/codec.rs
@@ -22,8 +22,8 @@
     /// would stop at every start.
     #[test]
     fn rubbish_is_refused(data in vec(any::<u8>(), 0..600)) {
-        if let Ok(batch) = codec::decode(&data) {
-            let again = codec::decode(&codec::encode(&batch).expect("it was decoded"));
+        if let Ok(batch) = codec::decode_batch(&data) {
+            let again = codec::decode_batch(&codec::encode_batch(&batch).expect("it was decoded"));
             prop_assert_eq!(again.expect("it was encoded"), batch);
         }
     }
@@ -35,6 +35,9 @@
         entries: Vec::new(),
         instance: 9,
     };
-    let encoded = codec::encode(&batch).expect("it can be encoded");
-    assert_eq!(codec::decode(&encoded).expect("it can be decoded"), batch);
+    let encoded = codec::encode_batch(&batch).expect("it can be encoded");
+    assert_eq!(
+        codec::decode_batch(&encoded).expect("it can be decoded"),
+        batch
+    );
 }
