--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept for reuse.
+//! HTTP/1.1 client with a connection pool.
 
 use {
     crate::prelude::*,
@@ -8,41 +8,42 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// Idle connections kept per address.
-const MOST_IDLE: usize = 64;
+/// Maximum number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// How long an idle connection is reused if its other side does not say.
-const REUSE: Duration = Duration::from_secs(8);
+/// How long a connection may stay idle if the server sends no `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Part of the time that the other side states for idle connections in which they are
-/// reused. A request that crosses the other side's close may or may not have run.
-const REUSE_SHARE: f64 = 0.6;
+/// Fraction of the server's `Keep-Alive` timeout during which an idle connection is reused.
+/// The margin keeps requests from being sent while the server closes the connection, after
+/// which it is unknown whether they ran.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-type Sending = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
 /// Idle connections, sorted by address.
-type Idle = Vec<(String, Vec<Kept>)>;
+type IdleConnections = Vec<(String, Vec<IdleConnection>)>;
 
-/// An idle connection, and until when it is reused.
+/// An idle connection with the time until which it may be reused.
 #[derive(Debug)]
-struct Kept {
-    sending: Sending,
-    until: Instant,
+struct IdleConnection {
+    sender: RequestSender,
+    reusable_until: Instant,
 }
 
-/// HTTP/1.1 client with a small pool; clones share it.
+/// HTTP/1.1 client; clones share one connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
-    connect: Duration,
-    idle: Arc<Mutex<Idle>>,
+    connect_timeout: Duration,
+    idle: Arc<Mutex<IdleConnections>>,
 }
 
 impl Client {
-    /// A client that gives a connection up after `connect`.
+    /// Creates a client whose connection attempts time out after `connect_timeout`.
     #[must_use]
-    pub fn new(connect: Duration) -> Self {
+    pub fn new(connect_timeout: Duration) -> Self {
         Self {
-            connect,
+            connect_timeout,
             idle: Arc::new(Mutex::new(Vec::new())),
         }
     }
@@ -51,12 +52,12 @@
     ///
     /// # Errors
     ///
-    /// [`Error::unwritten`] tells whether anything may have reached the endpoint.
+    /// [`Error::unwritten`] says whether the endpoint may have received anything.
     pub async fn send(&self, address: &str, request: Request<Full<Bytes>>) -> Result<Reply, Error> {
         let mut request = request;
-        while let Some(mut sending) = self.take(address) {
-            match sending.try_send_request(request).await {
-                Ok(response) => return Ok(self.reply(address, sending, response)),
+        while let Some(mut sender) = self.take_idle(address) {
+            match sender.try_send_request(request).await {
+                Ok(response) => return Ok(self.reply(address, sender, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(Error::Broken(error.into_error())),
@@ -68,20 +69,20 @@
 
     /// Sends a request on a new connection.
     ///
-    /// Orders go this way: a connection that is refused proves that nothing was
-    /// written, while a reused one may have been closed by the other side.
+    /// Used for requests that must not run twice: a refused connection proves that nothing
+    /// was written, while a pooled one may have been closed by the server in the meantime.
     ///
     /// # Errors
     ///
-    /// [`Error::unwritten`] tells whether anything may have reached the endpoint.
+    /// [`Error::unwritten`] says whether the endpoint may have received anything.
     pub async fn send_new(
         &self,
         address: &str,
         request: Request<Full<Bytes>>,
     ) -> Result<Reply, Error> {
-        let mut sending = self.open(address).await?;
-        match sending.try_send_request(request).await {
-            Ok(response) => Ok(self.reply(address, sending, response)),
+        let mut sender = self.connect(address).await?;
+        match sender.try_send_request(request).await {
+            Ok(response) => Ok(self.reply(address, sender, response)),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let error = error.into_error();
@@ -94,67 +95,71 @@
         }
     }
 
-    async fn open(&self, address: &str) -> Result<Sending, Error> {
-        let stream = timeout(self.connect, TcpStream::connect(address))
+    async fn connect(&self, address: &str) -> Result<RequestSender, Error> {
+        let stream = timeout(self.connect_timeout, TcpStream::connect(address))
             .await
             .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
             .map_err(Error::Connect)?;
         stream.set_nodelay(true).map_err(Error::Connect)?;
-        let (sending, connection) = http1::handshake(TokioIo::new(stream))
+        let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(Error::NotWritten)?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!(error:% = error; "connection to an endpoint ended");
+                log::debug!(error:% = error; "connection to an endpoint failed");
             }
         });
-        Ok(sending)
+        Ok(sender)
     }
 
-    fn put(&self, address: &str, sending: Sending, reuse: Duration) {
+    fn put_back(&self, address: &str, sender: RequestSender, max_idle: Duration) {
         let mut idle = self.idle.lock().expect("the pool is never poisoned");
-        let place = match idle.binary_search_by(|(other, _)| other.as_str().cmp(address)) {
-            Ok(place) => place,
-            Err(place) => {
-                idle.insert(place, (address.to_string(), Vec::new()));
-                place
+        let index = match idle.binary_search_by(|(other, _)| other.as_str().cmp(address)) {
+            Ok(index) => index,
+            Err(index) => {
+                idle.insert(index, (address.to_string(), Vec::new()));
+                index
             }
         };
-        let kept = &mut idle[place].1;
-        if kept.len() < MOST_IDLE {
-            let until = Instant::now() + reuse;
-            kept.push(Kept { sending, until });
+        let connections = &mut idle[index].1;
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            let reusable_until = Instant::now() + max_idle;
+            connections.push(IdleConnection {
+                sender,
+                reusable_until,
+            });
         }
     }
 
-    fn reply(&self, address: &str, sending: Sending, response: Response<Incoming>) -> Reply {
+    fn reply(&self, address: &str, sender: RequestSender, response: Response<Incoming>) -> Reply {
         Reply {
             address: address.to_string(),
             client: self.clone(),
             response,
-            sending,
+            sender,
         }
     }
 
-    fn take(&self, address: &str) -> Option<Sending> {
+    fn take_idle(&self, address: &str) -> Option<RequestSender> {
         let mut idle = self.idle.lock().expect("the pool is never poisoned");
-        let place = idle
+        let index = idle
             .binary_search_by(|(other, _)| other.as_str().cmp(address))
             .ok()?;
-        let kept = &mut idle[place].1;
+        let connections = &mut idle[index].1;
         let now = Instant::now();
-        kept.retain(|kept| kept.until > now && kept.sending.is_ready());
-        kept.pop().map(|kept| kept.sending)
+        connections
+            .retain(|connection| connection.reusable_until > now && connection.sender.is_ready());
+        connections.pop().map(|connection| connection.sender)
     }
 }
 
-/// An answer whose body has not been read yet.
+/// A response whose body has not been read yet.
 #[derive(Debug)]
 pub struct Reply {
     address: String,
     client: Client,
     response: Response<Incoming>,
-    sending: Sending,
+    sender: RequestSender,
 }
 
 impl Reply {
@@ -164,9 +169,9 @@
         self.response.status()
     }
 
-    /// The `Content-Type`, empty if there is none.
+    /// The `Content-Type` header, or an empty string.
     #[must_use]
-    pub fn media(&self) -> String {
+    pub fn content_type(&self) -> String {
         let value = self.response.headers().get(http::header::CONTENT_TYPE);
         value
             .and_then(|value| value.to_str().ok())
@@ -174,13 +179,13 @@
             .to_string()
     }
 
-    /// A header's value, if it is there and is text.
+    /// The value of a header, if it is present and valid text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.response.headers().get(name)?.to_str().ok()
     }
 
-    /// The next part of the body; `None` at its end, with the connection kept.
+    /// Reads the next chunk of the body; `None` at its end.
     ///
     /// # Errors
     ///
@@ -194,31 +199,33 @@
         Ok(None)
     }
 
-    /// Hands the connection back once the body is read.
+    /// Returns the connection to the pool; the body must have been read to its end.
     pub fn release(self) {
-        let stated = self.header("keep-alive").and_then(idle_timeout);
-        let reuse = stated.map_or(REUSE, |stated| stated.mul_f64(REUSE_SHARE));
-        self.client.put(&self.address, self.sending, reuse);
+        let advertised = self.header("keep-alive").and_then(keep_alive_timeout);
+        let max_idle = advertised.map_or(DEFAULT_IDLE_TIMEOUT, |advertised| {
+            advertised.mul_f64(IDLE_TIMEOUT_FRACTION)
+        });
+        self.client.put_back(&self.address, self.sender, max_idle);
     }
 
-    /// All headers.
+    /// The response headers.
     #[must_use]
     pub fn headers(&self) -> &HeaderMap {
         self.response.headers()
     }
 
-    /// Reads the whole body, at most `most` bytes.
+    /// Reads the whole body, at most `max_bytes` long, and returns the connection to the pool.
     ///
     /// # Errors
     ///
     /// The connection broke, or the body is larger.
-    pub async fn read_body(mut self, most: usize) -> Result<Bytes, Error> {
+    pub async fn read_body(mut self, max_bytes: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
-        while let Some(part) = self.chunk().await? {
-            if body.len() + part.len() > most {
+        while let Some(chunk) = self.chunk().await? {
+            if body.len() + chunk.len() > max_bytes {
                 return Err(Error::TooLarge);
             }
-            body.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
         self.release();
         Ok(body.freeze())
@@ -226,7 +233,7 @@
 }
 
 /// The `timeout` parameter of a `Keep-Alive` header.
-fn idle_timeout(value: &str) -> Option<Duration> {
+fn keep_alive_timeout(value: &str) -> Option<Duration> {
     let mut parameters = value.split(',');
     let seconds = parameters.find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     Some(Duration::from_secs(seconds.parse().ok()?))
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -1,4 +1,4 @@
-//! Generations at model engines, in the OpenAI shape with resume and cancel.
+//! Client of model engines: OpenAI-style generations that can be resumed and cancelled.
 
 use {
     crate::{prelude::*, sse::Parser},
@@ -7,49 +7,51 @@
     tokio::time::timeout,
 };
 
-/// Header that carries the generation id to the engine.
-const GENERATION: &str = "x-request-id";
+/// Header with the generation id.
+const GENERATION_ID_HEADER: &str = "x-request-id";
 
-/// Header that carries the time left, in seconds.
-pub(crate) const TIMEOUT: &str = "x-request-timeout";
+/// Header with the time left until the caller's deadline, in seconds.
+pub(crate) const TIMEOUT_HEADER: &str = "x-request-timeout";
 
-/// Largest refusal or load report read, in bytes.
-const MOST_ANSWER: usize = 1 << 20;
+/// Maximum size of an error response or a load report.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Data of the event that ends a stream.
-const DONE: &[u8] = b"[DONE]";
+/// Data of the last event of a stream.
+const END_OF_STREAM: &[u8] = b"[DONE]";
 
-/// A generation to be started.
+/// Parameters of a new generation.
 #[derive(Clone, Debug)]
 pub struct StartRequest {
-    /// The attempt, whose id becomes the generation's.
+    /// The attempt; its generation id is sent to the engine.
     pub attempt: Attempt,
     /// JSON body.
     pub body: Bytes,
     /// Path of the API.
     pub path: &'static str,
-    /// Time left until the caller's deadline, told to the engine.
+    /// Time left until the caller's deadline, sent to the engine.
     pub wait: Duration,
 }
 
-/// Starts a generation and reports its tokens until it ends.
+/// Starts a generation and sends its tokens as events until it ends.
 pub async fn start(client: Client, address: String, start: StartRequest, events: Sender<Event>) {
     let attempt = start.attempt;
     let request = Request::post(start.path)
         .header(http::header::HOST, &address)
         .header(http::header::CONTENT_TYPE, "application/json")
-        .header(GENERATION, attempt.generation.to_string())
-        .header(TIMEOUT, seconds(start.wait))
+        .header(GENERATION_ID_HEADER, attempt.generation.to_string())
+        .header(TIMEOUT_HEADER, format_seconds(start.wait))
         .body(Full::new(start.body));
-    let last = match begin(&client, &address, request).await {
-        Ok(reply) if reply.status() == StatusCode::OK => read(reply, attempt, 0, &events).await,
-        Ok(reply) => refused(reply, attempt).await,
-        Err(error) => failed(attempt, &error),
+    let last = match send(&client, &address, request).await {
+        Ok(reply) if reply.status() == StatusCode::OK => {
+            forward_tokens(reply, attempt, 0, &events).await
+        }
+        Ok(reply) => rejection(reply, attempt).await,
+        Err(error) => failure_event(attempt, &error),
     };
     send_event(&events, last).await;
 }
 
-/// Reads a running generation again from token `next` on.
+/// Resumes reading a running generation at token `next`.
 pub async fn resume(
     client: Client,
     address: String,
@@ -61,34 +63,36 @@
     let request = Request::get(path)
         .header(http::header::HOST, &address)
         .body(Full::default());
-    // A new connection each time: the old one may be silent although it looks open.
+    // A pooled connection may be dead without having been closed.
     let sent = match request {
         Ok(request) => client.send_new(&address, request).await,
         Err(error) => Err(error.into()),
     };
     let last = match sent {
-        Ok(reply) if reply.status() == StatusCode::OK => read(reply, attempt, next, &events).await,
+        Ok(reply) if reply.status() == StatusCode::OK => {
+            forward_tokens(reply, attempt, next, &events).await
+        }
         Ok(_) => Event::Failed(attempt, Failure::Forgotten),
         Err(_) => Event::Failed(attempt, Failure::Unreachable),
     };
     send_event(&events, last).await;
 }
 
-/// Cancels a generation, or only if no connection reads it.
+/// Cancels a generation; with `unattached`, only if no connection is reading it.
 pub async fn cancel(client: Client, address: String, generation: generation::Id, unattached: bool) {
     let path = format!("/v1/generations/{generation}?unattached={unattached}");
     let request = Request::delete(path)
         .header(http::header::HOST, &address)
         .body(Full::default());
-    match begin(&client, &address, request).await {
+    match send(&client, &address, request).await {
         Ok(reply) => reply.release(),
-        Err(error) => log::info!(generation:%, error:%; "cancel did not arrive"),
+        Err(error) => log::info!(generation:%, error:%; "cancel request failed"),
     }
 }
 
-/// A load report as engines write it.
+/// Load report in the format of the engine.
 #[derive(Debug, Deserialize)]
-struct Load {
+struct LoadReport {
     capacity_tokens: u64,
     #[serde(default)]
     leaving: bool,
@@ -99,23 +103,25 @@
     waiting: u32,
 }
 
-/// Asks an engine for its load.
+/// Fetches the load report of an engine.
 ///
 /// # Errors
 ///
-/// It cannot be reached, or its answer cannot be read.
+/// The engine cannot be reached, or its response is not a load report.
 pub async fn load(client: &Client, address: &str, wait: Duration) -> Result<Report, Error> {
     let request = Request::get("/load")
         .header(http::header::HOST, address)
         .body(Full::default());
-    let asked = async {
-        let reply = begin(client, address, request).await?;
-        reply.read_body(MOST_ANSWER).await
+    let exchange = async {
+        let reply = send(client, address, request).await?;
+        reply.read_body(MAX_RESPONSE_BYTES).await
     };
-    let body = timeout(wait, asked).await.unwrap_or(Err(Error::Silent))?;
-    let load = serde_json::from_slice::<Load>(&body).map_err(|error| {
-        log::warn!(address, error:%; "load report cannot be read");
-        Error::Silent
+    let body = timeout(wait, exchange)
+        .await
+        .unwrap_or(Err(Error::Timeout))?;
+    let load = serde_json::from_slice::<LoadReport>(&body).map_err(|error| {
+        log::warn!(address, error:%; "cannot decode load report");
+        Error::Timeout
     })?;
     Ok(Report {
         capacity: load.capacity_tokens,
@@ -128,7 +134,7 @@
     })
 }
 
-async fn begin(
+async fn send(
     client: &Client,
     address: &str,
     request: Result<Request<Full<Bytes>>, http::Error>,
@@ -136,7 +142,7 @@
     client.send(address, request?).await
 }
 
-fn failed(attempt: Attempt, error: &Error) -> Event {
+fn failure_event(attempt: Attempt, error: &Error) -> Event {
     log::info!(generation:% = attempt.generation, error:%; "attempt failed");
     let failure = if error.unwritten() {
         Failure::NotRun(Evidence::NothingWritten)
@@ -146,8 +152,8 @@
     Event::Failed(attempt, failure)
 }
 
-/// Passes tokens on until the stream ends, and returns the event that ends it.
-async fn read(
+/// Sends tokens as events until the stream ends; returns the event for its end.
+async fn forward_tokens(
     mut reply: crate::client::Reply,
     attempt: Attempt,
     next: u32,
@@ -157,7 +163,7 @@
     let mut next = next;
     loop {
         let parsed = match reply.chunk().await {
-            Ok(Some(part)) => parser.feed(part),
+            Ok(Some(chunk)) => parser.feed(chunk),
             Ok(None) => return Event::Failed(attempt, Failure::Broken),
             Err(error) => Err(error),
         };
@@ -165,7 +171,7 @@
             return Event::Failed(attempt, Failure::Broken);
         };
         for event in parsed {
-            if event.data == DONE {
+            if event.data == END_OF_STREAM {
                 while let Ok(Some(_)) = reply.chunk().await {}
                 reply.release();
                 return Event::Ended(attempt, next);
@@ -177,16 +183,17 @@
     }
 }
 
-/// Reads a refusal: "busy" may be tried elsewhere, the rest is the answer.
-async fn refused(reply: crate::client::Reply, attempt: Attempt) -> Event {
-    let (status, media) = (reply.status(), reply.media());
+/// Maps an error response to an event: 429 and 503 may be retried at another engine, any
+/// other status is passed on to the caller.
+async fn rejection(reply: crate::client::Reply, attempt: Attempt) -> Event {
+    let (status, media) = (reply.status(), reply.content_type());
     if matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     ) {
         return Event::Failed(attempt, Failure::NotRun(Evidence::EndpointRefused));
     }
-    match reply.read_body(MOST_ANSWER).await {
+    match reply.read_body(MAX_RESPONSE_BYTES).await {
         Ok(body) => Event::Answered(
             attempt,
             Answer {
@@ -199,14 +206,14 @@
     }
 }
 
-/// A time as the header carries it.
-pub(crate) fn seconds(wait: Duration) -> String {
+/// Formats a duration for [`TIMEOUT_HEADER`].
+pub(crate) fn format_seconds(wait: Duration) -> String {
     format!("{:.3}", wait.as_secs_f64())
 }
 
-/// Tells the loop; if it has ended there is nobody left to tell.
+/// Sends an event to the event loop; the event is dropped if the loop has ended.
 pub async fn send_event(events: &Sender<Event>, event: Event) {
     if events.send(event).await.is_err() {
-        log::debug!("the loop has ended");
+        log::debug!("event dropped: the event loop has ended");
     }
 }
--- a/crates/endpoint/src/error.rs
+++ b/crates/endpoint/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of exchanges with endpoints.
+//! Errors of requests to endpoints.
 
 use crate::prelude::*;
 
-/// Why an exchange failed, told apart by what may have reached the other side.
+/// Why a request failed; the variants differ in whether the endpoint may have received it.
 #[derive(Debug)]
 pub enum Error {
-    /// The connection broke after something was written.
+    /// The connection broke after part of the request may have been written.
     Broken(hyper::Error),
     /// No connection could be opened.
     Connect(std::io::Error),
@@ -13,9 +13,9 @@
     NotWritten(hyper::Error),
     /// The request could not be built.
     Request(http::Error),
-    /// No answer came in time after something was written.
-    Silent,
-    /// An answer or event was larger than the bound.
+    /// No response in time, after part of the request may have been written.
+    Timeout,
+    /// A response body or event exceeds its size limit.
     TooLarge,
 }
 
@@ -26,8 +26,8 @@
             Self::Connect(error) => write!(f, "cannot connect: {error}"),
             Self::NotWritten(error) => write!(f, "connection closed before the request: {error}"),
             Self::Request(error) => write!(f, "cannot build the request: {error}"),
-            Self::Silent => write!(f, "no answer in time"),
-            Self::TooLarge => write!(f, "answer too large"),
+            Self::Timeout => write!(f, "no answer in time"),
+            Self::TooLarge => write!(f, "response exceeds its size limit"),
         }
     }
 }
@@ -41,12 +41,12 @@
 }
 
 impl Error {
-    /// Whether it is provable that no byte of the request was written.
+    /// Whether it is certain that no byte of the request was written.
     #[must_use]
     pub const fn unwritten(&self) -> bool {
         match self {
             Self::Connect(_) | Self::NotWritten(_) | Self::Request(_) => true,
-            Self::Broken(_) | Self::Silent | Self::TooLarge => false,
+            Self::Broken(_) | Self::Timeout | Self::TooLarge => false,
         }
     }
 }
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP client towards model engines and plain services.
+//! HTTP client for model engines and plain services.
 
 pub mod client;
 pub mod engine;
--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -1,23 +1,23 @@
-//! Calls of plain services.
+//! Client of plain HTTP services.
 
 use crate::{
-    engine::{TIMEOUT, seconds, send_event},
+    engine::{TIMEOUT_HEADER, format_seconds, send_event},
     prelude::*,
 };
 
-/// Largest answer of a service, in bytes.
-const MOST_ANSWER: usize = 4 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// A call to be made.
+/// A call to a service.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The attempt.
+    /// The attempt that this call belongs to.
     pub attempt: Attempt,
     /// The body.
     pub body: Bytes,
-    /// Whether repeating it does no harm.
+    /// Whether the call may be repeated safely.
     pub idempotent: bool,
-    /// The order key, passed on in case the service knows repeats.
+    /// Idempotency key, forwarded in case the service deduplicates by it.
     pub key: Option<String>,
     /// The `Content-Type`.
     pub media: String,
@@ -25,15 +25,15 @@
     pub method: Method,
     /// Path and query at the service.
     pub path: String,
-    /// Time left until the caller's deadline, told to the service.
+    /// Time left until the caller's deadline, sent to the service.
     pub wait: Duration,
 }
 
-/// Makes a call and reports its answer.
+/// Makes a call and sends its result as an event.
 pub async fn call(client: Client, address: String, call: Call, events: Sender<Event>) {
     let (attempt, idempotent) = (call.attempt, call.idempotent);
     let event = match exchange(&client, &address, call).await {
-        Ok(answer) if idempotent && busy(&answer) => {
+        Ok(answer) if idempotent && is_overloaded(&answer) => {
             Event::Failed(attempt, Failure::NotRun(Evidence::EndpointRefused))
         }
         Ok(answer) => Event::Answered(attempt, answer),
@@ -41,18 +41,18 @@
             Event::Failed(attempt, Failure::NotRun(Evidence::NothingWritten))
         }
         Err(error) => {
-            log::info!(attempt:% = attempt.generation, error:%; "call failed");
+            log::info!(attempt:% = attempt.generation, error:%; "service call failed");
             Event::Failed(attempt, Failure::Broken)
         }
     };
     send_event(&events, event).await;
 }
 
-/// Whether an answer asks to try elsewhere.
+/// Whether the status says that another endpoint may be tried.
 ///
-/// Such an answer to an order is passed on as it is: services are not known to
-/// refuse before they act, so it proves nothing.
-fn busy(answer: &Answer) -> bool {
+/// Only used for idempotent calls: the status does not prove that the service rejected the
+/// call before running it.
+fn is_overloaded(answer: &Answer) -> bool {
     matches!(answer.status, 429 | 503)
 }
 
@@ -61,7 +61,7 @@
         .method(call.method)
         .uri(call.path)
         .header(http::header::HOST, address)
-        .header(TIMEOUT, seconds(call.wait));
+        .header(TIMEOUT_HEADER, format_seconds(call.wait));
     if !call.media.is_empty() {
         request = request.header(http::header::CONTENT_TYPE, call.media);
     }
@@ -74,8 +74,8 @@
     } else {
         client.send_new(address, request).await?
     };
-    let (status, media) = (reply.status().as_u16(), reply.media());
-    let body = reply.read_body(MOST_ANSWER).await?;
+    let (status, media) = (reply.status().as_u16(), reply.content_type());
+    let body = reply.read_body(MAX_RESPONSE_BYTES).await?;
     Ok(Answer {
         body,
         media,
--- a/crates/endpoint/src/sse.rs
+++ b/crates/endpoint/src/sse.rs
@@ -1,53 +1,53 @@
-//! Server-sent events of engines.
+//! Parsing of server-sent events from engines.
 
 use crate::prelude::*;
 
-/// Largest event taken, in bytes.
+/// Largest event accepted, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// The data, without its field name.
+    /// Value of the `data` field.
     pub data: Bytes,
-    /// The index behind the last colon of the id, if there is one.
+    /// The number after the last colon of the `id` field, if there is one.
     pub index: Option<u32>,
 }
 
-/// Cuts a byte stream into the blocks of events, each with its empty line.
+/// Splits a byte stream into event blocks, each with its terminating empty line.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes a part of the stream in and returns the blocks it completes, as written.
+    /// Adds a chunk of the stream and returns the blocks that it completes, unchanged.
     ///
     /// # Errors
     ///
     /// A block is larger than [`MAX_EVENT_BYTES`].
-    pub fn feed(&mut self, part: Bytes) -> Result<Vec<Bytes>, Error> {
-        let mut part = if self.rest.is_empty() {
-            part
+    pub fn feed(&mut self, chunk: Bytes) -> Result<Vec<Bytes>, Error> {
+        let mut unparsed = if self.partial.is_empty() {
+            chunk
         } else {
-            self.rest.extend_from_slice(&part);
-            self.rest.split().freeze()
+            self.partial.extend_from_slice(&chunk);
+            self.partial.split().freeze()
         };
         let mut blocks = Vec::new();
-        while let Some(end) = end(&part) {
-            blocks.push(part.split_to(end));
+        while let Some(end) = block_end(&unparsed) {
+            blocks.push(unparsed.split_to(end));
         }
-        if part.len() > MAX_EVENT_BYTES {
+        if unparsed.len() > MAX_EVENT_BYTES {
             return Err(Error::TooLarge);
         }
-        self.rest.extend_from_slice(&part);
+        self.partial.extend_from_slice(&unparsed);
         Ok(blocks)
     }
 
-    /// Whether part of a block is left over.
+    /// Whether the start of an incomplete block is buffered.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 }
 
@@ -60,29 +60,29 @@
     std::str::from_utf8(value).ok()
 }
 
-/// Cuts a byte stream into events.
+/// Parses a byte stream into events.
 #[derive(Debug, Default)]
 pub struct Parser {
-    cutter: EventSplitter,
+    splitter: EventSplitter,
 }
 
 impl Parser {
-    /// Takes a part of the stream in and returns the events it completes.
+    /// Adds a chunk of the stream and returns the events that it completes.
     ///
     /// # Errors
     ///
     /// An event is larger than [`MAX_EVENT_BYTES`].
-    pub fn feed(&mut self, part: Bytes) -> Result<Vec<Event>, Error> {
-        let blocks = self.cutter.feed(part)?;
-        Ok(blocks.iter().filter_map(parse).collect())
+    pub fn feed(&mut self, chunk: Bytes) -> Result<Vec<Event>, Error> {
+        let blocks = self.splitter.feed(chunk)?;
+        Ok(blocks.iter().filter_map(parse_event).collect())
     }
 }
 
-/// Length of the first event with its empty line, if it is complete.
-fn end(bytes: &[u8]) -> Option<usize> {
+/// Length of the first block, including its empty line, if it is complete.
+fn block_end(bytes: &[u8]) -> Option<usize> {
     let mut from = 0;
-    while let Some(place) = bytes[from..].iter().position(|byte| *byte == b'\n') {
-        let line = from + place + 1;
+    while let Some(newline) = bytes[from..].iter().position(|byte| *byte == b'\n') {
+        let line = from + newline + 1;
         match &bytes[line..] {
             [b'\n', ..] => return Some(line + 1),
             [b'\r', b'\n', ..] => return Some(line + 2),
@@ -92,16 +92,16 @@
     None
 }
 
-fn parse(block: &Bytes) -> Option<Event> {
+fn parse_event(block: &Bytes) -> Option<Event> {
     let mut data = None;
     let mut index = None;
     for line in block.split(|byte| *byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if let Some(value) = field(line, b"data:") {
-            // A copy: a slice would keep the whole read buffer, 8 KiB for one token.
+            // Copied: a slice would keep the whole 8 KiB read buffer alive for one token.
             data = Some(Bytes::copy_from_slice(value));
         } else if let Some(value) = field(line, b"id:") {
-            index = number(value);
+            index = index_of_id(value);
         }
     }
     data.map(|data| Event { data, index })
@@ -112,7 +112,7 @@
     Some(value.strip_prefix(b" ").unwrap_or(value))
 }
 
-fn number(id: &[u8]) -> Option<u32> {
+fn index_of_id(id: &[u8]) -> Option<u32> {
     let digits = id.rsplit(|byte| *byte == b':').next()?;
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
--- a/crates/endpoint/tests/decoders.rs
+++ b/crates/endpoint/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Bytes from engines, whatever they are.
+//! Parsing of event streams with arbitrary bytes and chunk boundaries.
 
 use {
     bytes::Bytes,
@@ -14,14 +14,14 @@
     }
 }
 
-fn parse(parts: &[&[u8]]) -> Vec<Event> {
+fn parse(chunks: &[&[u8]]) -> Vec<Event> {
     let mut parser = Parser::default();
     let mut events = Vec::new();
-    for part in parts {
+    for chunk in chunks {
         events.extend(
             parser
-                .feed(Bytes::copy_from_slice(part))
-                .expect("a small part"),
+                .feed(Bytes::copy_from_slice(chunk))
+                .expect("events within the size limit"),
         );
     }
     events
@@ -30,10 +30,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A network cuts a stream anywhere. Were an event cut in two taken for two, or
-    /// dropped, readers would miss words; the cuts must make no difference.
+    /// Guards against events that are lost or split where a chunk of the stream ends.
     #[test]
-    fn cuts_make_no_difference(
+    fn events_do_not_depend_on_chunk_boundaries(
         texts in vec("[ -~]{0,40}", 1..8),
         cuts in vec(any::<prop::sample::Index>(), 0..6),
     ) {
@@ -46,16 +45,16 @@
 "))
             .collect::<Vec<_>>()
             .concat();
-        let mut places = cuts.iter().map(|cut| cut.index(stream.len())).collect::<Vec<_>>();
-        places.sort_unstable();
-        places.push(stream.len());
+        let mut ends = cuts.iter().map(|cut| cut.index(stream.len())).collect::<Vec<_>>();
+        ends.sort_unstable();
+        ends.push(stream.len());
         let mut from = 0;
-        let mut parts = Vec::new();
-        for place in places {
-            parts.push(&stream.as_bytes()[from..place]);
-            from = place;
+        let mut chunks = Vec::new();
+        for end in ends {
+            chunks.push(&stream.as_bytes()[from..end]);
+            from = end;
         }
-        let events = parse(&parts);
+        let events = parse(&chunks);
         prop_assert_eq!(events.len(), texts.len());
         for (index, (event, text)) in events.iter().zip(&texts).enumerate() {
             prop_assert_eq!(&event.data, text.as_bytes());
@@ -63,21 +62,19 @@
         }
     }
 
-    /// An engine sends rubbish. The instance that reads it serves others, too, so
-    /// it must neither stop nor grow.
+    /// Guards against panics on arbitrary bytes from an engine.
     #[test]
-    fn rubbish_does_no_harm(parts in vec(vec(any::<u8>(), 0..400), 0..10)) {
-        let parts = parts.iter().map(Vec::as_slice).collect::<Vec<_>>();
-        parse(&parts);
+    fn arbitrary_bytes_do_not_panic(chunks in vec(vec(any::<u8>(), 0..400), 0..10)) {
+        let chunks = chunks.iter().map(Vec::as_slice).collect::<Vec<_>>();
+        parse(&chunks);
     }
 }
 
-/// An engine sends one event without end. Kept whole it would fill the memory of
-/// the instance; past the bound the stream is given up.
+/// Guards against unbounded buffering of an event that never ends.
 #[test]
-fn an_event_without_end_is_given_up() {
+fn event_above_the_size_limit_is_an_error() {
     let mut parser = Parser::default();
-    let part = Bytes::from(vec![b'x'; 1 << 19]);
-    let results = [(); 3].map(|()| parser.feed(part.clone()).is_ok());
+    let chunk = Bytes::from(vec![b'x'; 1 << 19]);
+    let results = [(); 3].map(|()| parser.feed(chunk.clone()).is_ok());
     assert_eq!(results, [true, true, false]);
 }
