--- a/crates/streamlog/src/codec.rs
+++ b/crates/streamlog/src/codec.rs
@@ -1,20 +1,20 @@
-//! Encoding of the system's own records.
+//! Encoding of snapshots and claim batches as log records.
 
 use {crate::prelude::*, decision::snapshot::Snapshot, serde::Serialize};
 
-/// Bytes of a snapshot put into one record.
-const PART: usize = 256 * 1024;
+/// Maximum number of snapshot bytes in one record.
+const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
-/// A part of a snapshot, which may be larger than the log takes at once.
+/// One chunk of a snapshot; a whole snapshot may exceed the record size limit of the log.
 #[derive(Debug, Deserialize, Serialize)]
-struct Part {
+struct SnapshotChunk {
     count: u32,
     data: Vec<u8>,
     id: u128,
     index: u32,
 }
 
-/// Puts the parts of snapshots together as they are read.
+/// Reassembles snapshots from their chunks.
 #[derive(Debug, Default)]
 pub struct SnapshotAssembler {
     data: Vec<u8>,
@@ -23,59 +23,60 @@
 }
 
 impl SnapshotAssembler {
-    /// Takes the next record of the stream in; returns the snapshot it completes.
+    /// Adds the next record of the stream; returns the snapshot that it completes.
     ///
-    /// Parts of one snapshot follow each other in order, possibly among those of
-    /// another one; the one begun last is put together.
+    /// The chunks of a snapshot are in order but may be interleaved with those of another
+    /// snapshot, in which case only the one that started last is assembled.
     ///
     /// # Errors
     ///
-    /// The record is no part, or the snapshot cannot be decoded.
+    /// The record is not a snapshot chunk, or the snapshot cannot be decoded.
     pub fn push(&mut self, data: &[u8]) -> Result<Option<Snapshot>, Error> {
-        let part = postcard::from_bytes::<Part>(data).map_err(|error| record_error(&error))?;
-        if part.index == 0 {
+        let chunk =
+            postcard::from_bytes::<SnapshotChunk>(data).map_err(|error| codec_error(&error))?;
+        if chunk.index == 0 {
             *self = Self {
                 data: Vec::new(),
-                id: part.id,
+                id: chunk.id,
                 next: 0,
             };
         }
-        if part.id != self.id || part.index != self.next {
+        if chunk.id != self.id || chunk.index != self.next {
             return Ok(None);
         }
-        self.data.extend_from_slice(&part.data);
+        self.data.extend_from_slice(&chunk.data);
         self.next += 1;
-        if self.next < part.count {
+        if self.next < chunk.count {
             return Ok(None);
         }
-        let snapshot = postcard::from_bytes(&self.data).map_err(|error| record_error(&error))?;
+        let snapshot = postcard::from_bytes(&self.data).map_err(|error| codec_error(&error))?;
         Ok(Some(snapshot))
     }
 }
 
-/// Encodes a snapshot into records of bounded size.
+/// Encodes a snapshot as records of bounded size.
 ///
 /// # Errors
 ///
-/// The codec failed, which only a bug can cause.
+/// Encoding failed, which indicates a bug.
 pub fn encode_snapshot(snapshot: &Snapshot, id: u128) -> Result<Vec<Bytes>, Error> {
-    let data = postcard::to_stdvec(snapshot).map_err(|error| record_error(&error))?;
-    let count = u32::try_from(data.len().div_ceil(PART)).unwrap_or(u32::MAX);
-    let mut parts = Vec::new();
-    for (index, data) in (0..count).zip(data.chunks(PART)) {
-        let part = Part {
+    let data = postcard::to_stdvec(snapshot).map_err(|error| codec_error(&error))?;
+    let count = u32::try_from(data.len().div_ceil(SNAPSHOT_CHUNK_BYTES)).unwrap_or(u32::MAX);
+    let mut records = Vec::new();
+    for (index, data) in (0..count).zip(data.chunks(SNAPSHOT_CHUNK_BYTES)) {
+        let chunk = SnapshotChunk {
             count,
             data: data.to_vec(),
             id,
             index,
         };
-        let part = postcard::to_stdvec(&part).map_err(|error| record_error(&error))?;
-        parts.push(part.into());
+        let chunk = postcard::to_stdvec(&chunk).map_err(|error| codec_error(&error))?;
+        records.push(chunk.into());
     }
-    Ok(parts)
+    Ok(records)
 }
 
-fn record_error(error: &postcard::Error) -> Error {
+fn codec_error(error: &postcard::Error) -> Error {
     Error::Record(error.to_string())
 }
 
@@ -83,12 +84,12 @@
 ///
 /// # Errors
 ///
-/// The codec failed, which only a bug can cause.
+/// Encoding failed, which indicates a bug.
 pub fn encode_batch(batch: &Batch) -> Result<Bytes, Error> {
     let encoded = postcard::to_stdvec(batch);
     encoded
         .map(Bytes::from)
-        .map_err(|error| record_error(&error))
+        .map_err(|error| codec_error(&error))
 }
 
 /// Decodes a batch of claim entries.
@@ -97,5 +98,5 @@
 ///
 /// The record was not written by [`encode_batch`].
 pub fn decode_batch(data: &[u8]) -> Result<Batch, Error> {
-    postcard::from_bytes(data).map_err(|error| record_error(&error))
+    postcard::from_bytes(data).map_err(|error| codec_error(&error))
 }
--- a/crates/streamlog/src/error.rs
+++ b/crates/streamlog/src/error.rs
@@ -1,19 +1,19 @@
-//! Errors of the platform's services.
+//! Errors of calls to the log and the instance list.
 
 use crate::prelude::*;
 
-/// Why the platform could not be asked.
+/// Why a call failed.
 #[derive(Debug)]
 pub enum Error {
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     Endpoint(endpoint::Error),
-    /// The answer was not JSON of the expected shape.
+    /// The response was not JSON of the expected shape.
     Json(serde_json::Error),
     /// A record could not be decoded.
     Record(String),
-    /// No answer came in time.
-    Silent,
-    /// The service answered with this status.
+    /// No response in time.
+    Timeout,
+    /// The response had this unexpected status.
     Status(StatusCode),
 }
 
@@ -21,10 +21,10 @@
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
             Self::Endpoint(error) => write!(f, "{error}"),
-            Self::Json(error) => write!(f, "answer cannot be read: {error}"),
-            Self::Record(error) => write!(f, "record cannot be decoded: {error}"),
-            Self::Silent => write!(f, "no answer in time"),
-            Self::Status(status) => write!(f, "answered {status}"),
+            Self::Json(error) => write!(f, "cannot decode response: {error}"),
+            Self::Record(error) => write!(f, "cannot decode record: {error}"),
+            Self::Timeout => write!(f, "no answer in time"),
+            Self::Status(status) => write!(f, "unexpected status {status}"),
         }
     }
 }
--- a/crates/streamlog/src/lib.rs
+++ b/crates/streamlog/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of the append-only log and the instance list behind the project's own interface.
+//! Client of the append-only log and the instance list.
 
 pub mod codec;
 pub mod error;
--- a/crates/streamlog/src/list.rs
+++ b/crates/streamlog/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances.
+//! Client of the platform's instance list.
 
 use {
     crate::prelude::*,
@@ -9,13 +9,13 @@
     http::header::IF_NONE_MATCH,
 };
 
-/// How long a read of the list may take.
-const WAIT: Duration = Duration::from_secs(2);
+/// Time limit for one read of the list.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest list read, in bytes.
-const MOST: usize = 16 << 20;
+/// Maximum size of the list.
+const MAX_LIST_BYTES: usize = 16 << 20;
 
-/// What the list names.
+/// Instances in the list, by role.
 #[derive(Clone, Debug, Default)]
 pub struct List {
     /// Endpoints.
@@ -36,51 +36,51 @@
     state: String,
 }
 
-/// Reads the list again and again, but transfers it only when it has changed.
-///
-/// At full size the list is a third of a megabyte; read whole twice a second it
-/// cost more than everything else that an idle instance does.
+/// Polls the list with conditional requests, so that it is transferred and parsed only when
+/// it has changed.
 #[derive(Debug)]
 pub struct Reader {
     address: String,
     client: Client,
-    tag: Option<String>,
+    etag: Option<String>,
 }
 
 impl Reader {
-    /// A reader that has not read anything.
+    /// Creates a reader that has no cached `ETag`.
     #[must_use]
     pub const fn new(client: Client, address: String) -> Self {
         Self {
             address,
             client,
-            tag: None,
+            etag: None,
         }
     }
 
-    /// The list, or `None` if it is as it was at the last reading.
+    /// Reads the list; `None` if it has not changed since the last read.
     ///
     /// # Errors
     ///
-    /// It cannot be reached or its answer cannot be read.
+    /// The list cannot be reached, or its response cannot be decoded.
     pub async fn read(&mut self) -> Result<Option<List>, Error> {
         let mut request = Request::get("/instances").header(HOST, &self.address);
-        if let Some(tag) = &self.tag {
-            request = request.header(IF_NONE_MATCH, tag);
+        if let Some(etag) = &self.etag {
+            request = request.header(IF_NONE_MATCH, etag);
         }
         let request = request.body(Full::default())?;
-        let asked = async {
+        let exchange = async {
             let reply = self.client.send(&self.address, request).await?;
             let status = reply.status();
-            let tag = reply.header("etag").map(str::to_string);
-            Ok((status, tag, reply.read_body(MOST).await?))
+            let etag = reply.header("etag").map(str::to_string);
+            Ok((status, etag, reply.read_body(MAX_LIST_BYTES).await?))
         };
-        let (status, tag, body) = timeout(WAIT, asked).await.unwrap_or(Err(Error::Silent))?;
+        let (status, etag, body) = timeout(READ_TIMEOUT, exchange)
+            .await
+            .unwrap_or(Err(Error::Timeout))?;
         match status {
             StatusCode::NOT_MODIFIED => Ok(None),
             StatusCode::OK => {
-                let list = sort(serde_json::from_slice(&body)?);
-                self.tag = tag;
+                let list = classify(serde_json::from_slice(&body)?);
+                self.etag = etag;
                 Ok(Some(list))
             }
             status => Err(Error::Status(status)),
@@ -88,7 +88,7 @@
     }
 }
 
-fn sort(rows: Vec<Row>) -> List {
+fn classify(rows: Vec<Row>) -> List {
     let mut list = List::default();
     for row in rows {
         let leaving = row.state == "leaving";
@@ -105,7 +105,7 @@
             }
             "service" => Kind::Service(row.service),
             role => {
-                log::debug!(role; "role in the instance list is not known");
+                log::debug!(role; "unknown role in the instance list; entry ignored");
                 continue;
             }
         };
--- a/crates/streamlog/src/stream.rs
+++ b/crates/streamlog/src/stream.rs
@@ -1,98 +1,99 @@
-//! Streams of the append-only log.
+//! Client of the streams of an append-only log.
 
 use {crate::prelude::*, std::time::Instant};
 
-/// How long an append may take before it counts as lost.
-const APPEND_WAIT: Duration = Duration::from_secs(2);
+/// Time limit for an append; after it, the outcome of the append is unknown.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time the log may hold a read open when there is nothing new.
+/// How long the log may hold a read open while there are no new records.
 pub const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a read may take beyond the time it is held open.
-const READ_WAIT: Duration = Duration::from_secs(2);
+/// Time limit for a read in addition to its long-poll timeout.
+const READ_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// Largest part of a stream read at once, in bytes.
-const MOST_PART: usize = 16 << 20;
+/// Maximum size of the response to a read.
+const MAX_READ_BYTES: usize = 16 << 20;
 
 /// One stream of the log.
 #[derive(Clone, Debug)]
 pub struct Stream {
     /// IP address and port of the log.
     pub address: String,
-    /// HTTP client.
+    /// HTTP client for requests to the log.
     pub client: Client,
     /// Name of the stream.
     pub name: &'static str,
 }
 
-/// A record as it stands in a stream.
+/// A record of a stream.
 #[derive(Clone, Debug)]
 pub struct LogRecord {
-    /// When the log took it, by the log's clock.
+    /// When the record was appended, by the log's clock.
     pub at: Wall,
-    /// Content.
+    /// Payload of the record.
     pub data: Bytes,
-    /// Place in the stream.
+    /// Position in the stream.
     pub offset: u64,
 }
 
-/// A part of a stream.
+/// The result of one read.
 #[derive(Clone, Debug)]
 pub struct RecordBatch {
-    /// When the read was asked for.
+    /// When the read was sent, by the local clock.
     pub requested_at: Instant,
-    /// Lowest offset that the log still keeps.
+    /// Lowest offset that the log still retains.
     pub first: u64,
-    /// The offset that the next record will get.
+    /// Offset that the next appended record will get.
     pub next: u64,
-    /// The log's clock.
+    /// Time of the read by the log's clock.
     pub now: Wall,
-    /// Records in order.
+    /// Records in order of their offsets.
     pub records: Vec<LogRecord>,
 }
 
 #[derive(Deserialize)]
-struct RawEntry {
+struct RawRecord {
     at: u64,
     data: String,
     offset: u64,
 }
 
 #[derive(Deserialize)]
-struct RawPart {
+struct RawBatch {
     first: u64,
     next: u64,
     now: u64,
-    records: Vec<RawEntry>,
+    records: Vec<RawRecord>,
 }
 
 #[derive(Deserialize)]
-struct Place {
+struct AppendResponse {
     offset: u64,
 }
 
 impl Stream {
-    /// Appends a record.
+    /// Appends a record and returns its offset.
     ///
     /// # Errors
     ///
-    /// See [`append_result`] for whether the record may stand in the log all the same.
+    /// The append failed or its outcome is unknown; see [`append_result`].
     pub async fn append(&self, data: Bytes) -> Result<u64, Error> {
         let request = Request::post(format!("/streams/{}/records", self.name))
             .header(HOST, &self.address)
             .body(Full::new(data))?;
-        let body = self.exchange(request, APPEND_WAIT, 4096).await?;
-        Ok(serde_json::from_slice::<Place>(&body)?.offset)
+        let body = self.exchange(request, APPEND_TIMEOUT, 4096).await?;
+        Ok(serde_json::from_slice::<AppendResponse>(&body)?.offset)
     }
 
-    /// Reads from `from` on; the log may hold the read open if there is nothing new.
+    /// Reads records from offset `from` on; the log may hold the read open for `poll_timeout`
+    /// while there are none.
     ///
     /// # Errors
     ///
-    /// The log cannot be reached or its answer cannot be read.
-    pub async fn read(&self, from: u64, hold: Duration) -> Result<RecordBatch, Error> {
+    /// The log cannot be reached, or its response cannot be decoded.
+    pub async fn read(&self, from: u64, poll_timeout: Duration) -> Result<RecordBatch, Error> {
         let requested_at = Instant::now();
-        let millis = hold.as_millis();
+        let millis = poll_timeout.as_millis();
         let path = format!(
             "/streams/{}/records?from={from}&wait_ms={millis}",
             self.name
@@ -100,17 +101,19 @@
         let request = Request::get(path)
             .header(HOST, &self.address)
             .body(Full::default())?;
-        let body = self.exchange(request, hold + READ_WAIT, MOST_PART).await?;
-        let raw = serde_json::from_slice::<RawPart>(&body)?;
+        let body = self
+            .exchange(request, poll_timeout + READ_TIMEOUT_MARGIN, MAX_READ_BYTES)
+            .await?;
+        let raw = serde_json::from_slice::<RawBatch>(&body)?;
         let mut records = Vec::with_capacity(raw.records.len());
-        for entry in raw.records {
+        for record in raw.records {
             let data = BASE64_STANDARD
-                .decode(&entry.data)
+                .decode(&record.data)
                 .map_err(|error| Error::Record(error.to_string()))?;
             records.push(LogRecord {
-                at: Wall(entry.at),
+                at: Wall(record.at),
                 data: data.into(),
-                offset: entry.offset,
+                offset: record.offset,
             });
         }
         Ok(RecordBatch {
@@ -126,23 +129,23 @@
         &self,
         request: Request<Full<Bytes>>,
         wait: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Bytes, Error> {
         let exchange = async {
             let reply = self.client.send(&self.address, request).await?;
             let status = reply.status();
-            let body = reply.read_body(most).await?;
+            let body = reply.read_body(max_bytes).await?;
             if status == StatusCode::OK {
                 Ok(body)
             } else {
                 Err(Error::Status(status))
             }
         };
-        timeout(wait, exchange).await.unwrap_or(Err(Error::Silent))
+        timeout(wait, exchange).await.unwrap_or(Err(Error::Timeout))
     }
 }
 
-/// What is known of an append's effect.
+/// Whether an append took effect, as far as its result shows.
 #[must_use]
 pub fn append_result(result: &Result<u64, Error>) -> AppendResult {
     match result {
--- a/crates/streamlog/tests/codec.rs
+++ b/crates/streamlog/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Records of the system's own stream, whatever stands in it.
+//! Decoding of claim records.
 
 use {
     decision::batch::Batch,
@@ -17,11 +17,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Somebody else writes to the stream of claims, or an older version did. The
-    /// record is skipped with a line in the log; an instance that stopped at it
-    /// would stop at every start.
+    /// Guards against a panic on a claim record of another writer or version, which would
+    /// stop an instance at every start.
     #[test]
-    fn rubbish_is_refused(data in vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_do_not_panic(data in vec(any::<u8>(), 0..600)) {
         if let Ok(batch) = codec::decode_batch(&data) {
             let again = codec::decode_batch(&codec::encode_batch(&batch).expect("it was decoded"));
             prop_assert_eq!(again.expect("it was encoded"), batch);
@@ -30,7 +29,7 @@
 }
 
 #[test]
-fn an_empty_batch_comes_back() {
+fn empty_batch_round_trips() {
     let batch = Batch {
         entries: Vec::new(),
         instance: 9,
