--- a/crates/carawayhead/tests/forwarding/answers.rs
+++ b/crates/carawayhead/tests/forwarding/answers.rs
@@ -41,7 +41,7 @@
         .expect("an answer");
     assert_eq!((got.status, got.sealed), (StatusCode::OK, true));
     assert_eq!(got.body, "done r1 at d1");
-    let ran = desk.ran();
+    let ran = desk.executed_calls();
     assert_eq!(ran.len(), 1);
     let ran = &ran[0];
     assert_eq!(
@@ -81,7 +81,7 @@
         assert_eq!(got.status, status);
         assert_eq!(got.id.as_deref(), Some(request.id));
     }
-    assert_eq!(desk.ran().len(), 0);
+    assert_eq!(desk.executed_calls().len(), 0);
 }
 
 /// An endpoint books a kiln and its answer is lost. Sending the order again would book
@@ -98,11 +98,11 @@
     }
     let got = send_request(instance.callers, &CallerRequest::new("r1", "/order/7")).await;
     assert_eq!(got.expect("an answer").status, StatusCode::BAD_GATEWAY);
-    assert_eq!(one.ran().len() + two.ran().len(), 1);
+    assert_eq!(one.executed_calls().len() + two.executed_calls().len(), 1);
     // A lookup may be repeated, and is.
     let got = send_request(instance.callers, &CallerRequest::new("r2", "/look/7")).await;
     assert_eq!(got.expect("an answer").status, StatusCode::BAD_GATEWAY);
-    assert_eq!(one.ran().len() + two.ran().len(), 3);
+    assert_eq!(one.executed_calls().len() + two.executed_calls().len(), 3);
 }
 
 /// A lookup fails with the endpoint's own failure, and the second try finds no endpoint or
@@ -149,7 +149,7 @@
         let got = send_request(instance.callers, &CallerRequest::new("r1", "/order/7")).await;
         assert_eq!(got.expect("an answer").status, StatusCode::OK);
     }
-    assert_eq!(one.ran().len() + two.ran().len(), 2);
+    assert_eq!(one.executed_calls().len() + two.executed_calls().len(), 2);
     for desk in [&one, &two] {
         desk.set_behavior(ServiceBehavior::Rejecting);
     }
@@ -157,7 +157,7 @@
     let got = got.expect("an answer");
     assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(got.retry_after.is_some());
-    assert_eq!(one.ran().len() + two.ran().len(), 2);
+    assert_eq!(one.executed_calls().len() + two.executed_calls().len(), 2);
 }
 
 /// An endpoint answers under another request's id, or a success without its seal. Passed
@@ -223,7 +223,7 @@
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
-    let ran = desk.ran();
+    let ran = desk.executed_calls();
     let ran = ran
         .iter()
         .filter_map(|call| call.header("carawayhead-request-id"));
--- a/crates/carawayhead/tests/forwarding/knowledge.rs
+++ b/crates/carawayhead/tests/forwarding/knowledge.rs
@@ -55,12 +55,12 @@
         status(&instance, "key-1").await == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
-    let ran = desk.ran().len();
+    let ran = desk.executed_calls().len();
     assert_eq!(
         status(&instance, "key-1").await,
         StatusCode::SERVICE_UNAVAILABLE
     );
-    assert_eq!(desk.ran().len(), ran);
+    assert_eq!(desk.executed_calls().len(), ran);
     store.set_behavior(StoreBehavior::Healthy);
     until("the key is known to be gone", || async {
         status(&instance, "key-1").await == StatusCode::UNAUTHORIZED
--- a/crates/carawayhead/tests/forwarding/streams.rs
+++ b/crates/carawayhead/tests/forwarding/streams.rs
@@ -54,7 +54,7 @@
     async fn serving(&self, id: &str) -> usize {
         let place = || {
             self.engines.iter().position(|engine| {
-                let ran = engine.ran();
+                let ran = engine.executed_calls();
                 ran.iter()
                     .any(|call| call.header("carawayhead-request-id") == Some(id))
             })
@@ -67,7 +67,9 @@
     /// Waits until an engine has the run, and returns its place.
     async fn running_at(&self) -> usize {
         until("an engine has the run", || async {
-            self.engines.iter().any(|engine| !engine.ran().is_empty())
+            self.engines
+                .iter()
+                .any(|engine| !engine.executed_calls().is_empty())
         })
         .await;
         // Some events are to be out before something happens to the engine.
@@ -75,7 +77,7 @@
         let place = self
             .engines
             .iter()
-            .position(|engine| !engine.ran().is_empty());
+            .position(|engine| !engine.executed_calls().is_empty());
         place.expect("an engine with the run")
     }
 }
@@ -106,7 +108,7 @@
         until("another engine has the run", || async {
             let others = deployment.engines.iter().enumerate();
             let mut others = others.filter(|(other, _)| *other != place);
-            others.any(|(_, engine)| !engine.ran().is_empty())
+            others.any(|(_, engine)| !engine.executed_calls().is_empty())
         })
         .await;
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -184,11 +186,11 @@
     let entry = engine.leaving_entry("model", "a");
     deployment.store.write_endpoint_entry(&id, &entry);
     until("the engine has gone on with what it stopped", || async {
-        let ran = engine.ran();
+        let ran = engine.executed_calls();
         ran.iter().any(|call| call.header("kv-from").is_some())
     })
     .await;
-    assert_eq!(other.ran().len(), 1);
+    assert_eq!(other.executed_calls().len(), 1);
     let got = stream.await.expect("a task").expect("an answer");
     assert_eq!((got.status, got.complete), (StatusCode::OK, true));
     assert_whole(&got.body);
@@ -313,13 +315,13 @@
         deployment
             .engines
             .iter()
-            .any(|engine| !engine.ran().is_empty())
+            .any(|engine| !engine.executed_calls().is_empty())
     })
     .await;
     let place = deployment
         .engines
         .iter()
-        .position(|engine| !engine.ran().is_empty());
+        .position(|engine| !engine.executed_calls().is_empty());
     deployment.engines[place.expect("an engine")].crash();
     let got = stream.await.expect("a task").expect("an answer");
     assert_eq!((got.status, got.complete), (StatusCode::OK, true));
--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -128,7 +128,10 @@
 /// When each request was run at a back end, by id; goings-on of a run do not count.
 fn runs(deployment: &Deployment) -> BTreeMap<String, Vec<Instant>> {
     let mut runs = BTreeMap::<String, Vec<Instant>>::new();
-    let desks = deployment.desks.iter().flat_map(|desk| desk.server.ran());
+    let desks = deployment
+        .desks
+        .iter()
+        .flat_map(|desk| desk.server.executed_calls());
     let engines = deployment.engines.iter().map(|engine| &engine.server);
     let engines = engines.chain(&deployment.gone).flat_map(Engine::ran);
     for call in desks.chain(engines).filter(|call| !call.is_continuation()) {
