--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -17,7 +17,7 @@
 /// Fraction of the server's `Keep-Alive` timeout during which an idle connection is reused.
 /// The margin keeps requests from being sent while the server closes the connection, after
 /// which it is unknown whether they ran.
-const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
+const REUSE_FRACTION: f64 = 0.6;
 
 type RequestSender = SendRequest<Full<Bytes>>;
 
@@ -201,10 +201,8 @@
 
     /// Returns the connection to the pool; the body must have been read to its end.
     pub fn release(self) {
-        let advertised = self.header("keep-alive").and_then(keep_alive_timeout);
-        let max_idle = advertised.map_or(DEFAULT_IDLE_TIMEOUT, |advertised| {
-            advertised.mul_f64(IDLE_TIMEOUT_FRACTION)
-        });
+        let limit = self.header("keep-alive").and_then(keep_alive_timeout);
+        let max_idle = limit.map_or(DEFAULT_IDLE_TIMEOUT, |limit| limit.mul_f64(REUSE_FRACTION));
         self.client.put_back(&self.address, self.sender, max_idle);
     }
 
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -42,9 +42,7 @@
         .header(TIMEOUT_HEADER, format_seconds(start.wait))
         .body(Full::new(start.body));
     let last = match send(&client, &address, request).await {
-        Ok(reply) if reply.status() == StatusCode::OK => {
-            forward_tokens(reply, attempt, 0, &events).await
-        }
+        Ok(reply) if reply.status() == StatusCode::OK => read(reply, attempt, 0, &events).await,
         Ok(reply) => rejection(reply, attempt).await,
         Err(error) => failure_event(attempt, &error),
     };
@@ -69,9 +67,7 @@
         Err(error) => Err(error.into()),
     };
     let last = match sent {
-        Ok(reply) if reply.status() == StatusCode::OK => {
-            forward_tokens(reply, attempt, next, &events).await
-        }
+        Ok(reply) if reply.status() == StatusCode::OK => read(reply, attempt, next, &events).await,
         Ok(_) => Event::Failed(attempt, Failure::Forgotten),
         Err(_) => Event::Failed(attempt, Failure::Unreachable),
     };
@@ -153,7 +149,7 @@
 }
 
 /// Sends tokens as events until the stream ends; returns the event for its end.
-async fn forward_tokens(
+async fn read(
     mut reply: crate::client::Reply,
     attempt: Attempt,
     next: u32,
