--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -133,7 +133,9 @@
         .iter()
         .flat_map(|desk| desk.server.executed_calls());
     let engines = deployment.engines.iter().map(|engine| &engine.server);
-    let engines = engines.chain(&deployment.gone).flat_map(Engine::ran);
+    let engines = engines
+        .chain(&deployment.gone)
+        .flat_map(Engine::executed_calls);
     for call in desks.chain(engines).filter(|call| !call.is_continuation()) {
         runs.entry(call.id().to_string()).or_default().push(call.at);
     }
