--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -199,7 +199,7 @@
         Ok(None)
     }
 
-    /// Returns the connection to the pool; the body must have been read to its end.
+    /// Returns the connection to the pool once the body has been read.
     pub fn release(self) {
         let limit = self.header("keep-alive").and_then(keep_alive_timeout);
         let max_idle = limit.map_or(DEFAULT_IDLE_TIMEOUT, |limit| limit.mul_f64(REUSE_FRACTION));
