--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -18,7 +18,7 @@
     http::StatusCode,
     platform::standin::{
         Engine,
-        caller::{Ask, ask},
+        caller::{CallerRequest, send_request},
     },
     rand::{SeedableRng as _, rngs::SmallRng},
     script::{Script, Theme},
@@ -128,10 +128,15 @@
 /// When each request was run at a back end, by id; goings-on of a run do not count.
 fn runs(deployment: &Deployment) -> BTreeMap<String, Vec<Instant>> {
     let mut runs = BTreeMap::<String, Vec<Instant>>::new();
-    let desks = deployment.desks.iter().flat_map(|desk| desk.server.ran());
+    let desks = deployment
+        .desks
+        .iter()
+        .flat_map(|desk| desk.server.executed_calls());
     let engines = deployment.engines.iter().map(|engine| &engine.server);
-    let engines = engines.chain(&deployment.gone).flat_map(Engine::ran);
-    for call in desks.chain(engines).filter(|call| !call.goes_on()) {
+    let engines = engines
+        .chain(&deployment.gone)
+        .flat_map(Engine::executed_calls);
+    for call in desks.chain(engines).filter(|call| !call.is_continuation()) {
         runs.entry(call.id().to_string()).or_default().push(call.at);
     }
     runs
@@ -226,7 +231,7 @@
             let mut status = None;
             for attempt in 0..40 {
                 let id = format!("{id}-{attempt}");
-                let got = ask(instance.callers, &Ask::new(&id, path)).await;
+                let got = send_request(instance.callers, &CallerRequest::new(&id, path)).await;
                 status = got.map(|got| got.status);
                 if status == Some(StatusCode::OK) {
                     break;
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP client towards model engines and plain services.
+//! HTTP client for model engines and plain services.
 
 pub mod client;
 pub mod engine;
@@ -7,4 +7,4 @@
 pub mod service;
 pub mod sse;
 
-pub use {client::Client, engine::tell, error::Error};
+pub use {client::Client, engine::send_event, error::Error};
--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -6,13 +6,13 @@
     platform::{
         instance::{self, Entry},
         list, records,
-        records::Order,
-        store::{Keyed, Topic},
+        records::OperatorRecord,
+        store::{KeyedRecord, Topic},
     },
 };
 
 /// Applies the newest record of each key; keys that are not among them are removed.
-pub fn snapshot(shared: &Shared, topic: Topic, records: &[Keyed]) {
+pub fn snapshot(shared: &Shared, topic: Topic, records: &[KeyedRecord]) {
     match topic {
         Topic::Endpoints => remove_unlisted_endpoints(shared, records),
         Topic::Operators => reinstate_unlisted_domains(shared, records),
@@ -24,7 +24,7 @@
 }
 
 /// Applies one record.
-pub fn update(shared: &Shared, topic: Topic, record: &Keyed) {
+pub fn update(shared: &Shared, topic: Topic, record: &KeyedRecord) {
     match topic {
         Topic::Endpoints => apply_endpoint(shared, record),
         Topic::Instances => apply_instance(shared, record),
@@ -32,7 +32,7 @@
     }
 }
 
-fn remove_unlisted_endpoints(shared: &Shared, records: &[Keyed]) {
+fn remove_unlisted_endpoints(shared: &Shared, records: &[KeyedRecord]) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
     for id in state.listed() {
@@ -45,7 +45,7 @@
 
 /// Removes instances that have no entry. If this instance's own entry is missing, it is
 /// published again: peers reject connections from instances that are not listed.
-fn remove_unlisted_instances(shared: &Shared, records: &[Keyed]) {
+fn remove_unlisted_instances(shared: &Shared, records: &[KeyedRecord]) {
     let listed = |name: &str| records.iter().any(|record| record.key == name);
     let own = &shared.settings.instance.name;
     if !listed(own) {
@@ -60,11 +60,11 @@
 }
 
 /// Enables failure domains that no record disables any more.
-fn reinstate_unlisted_domains(shared: &Shared, records: &[Keyed]) {
+fn reinstate_unlisted_domains(shared: &Shared, records: &[KeyedRecord]) {
     let out = records
         .iter()
-        .filter_map(|record| match records::order(record) {
-            Ok(Order::Domain(domain, true)) => Some(domain),
+        .filter_map(|record| match records::decode_operator_record(record) {
+            Ok(OperatorRecord::Domain(domain, true)) => Some(domain),
             _ => None,
         })
         .collect::<Vec<_>>();
@@ -77,7 +77,7 @@
     }
 }
 
-fn apply_endpoint(shared: &Shared, record: &Keyed) {
+fn apply_endpoint(shared: &Shared, record: &KeyedRecord) {
     let (change, error) = list::change(record);
     match (&change, error) {
         (_, Some(error)) => {
@@ -98,7 +98,7 @@
     shared.state.borrow_mut().change(clock::now(), change);
 }
 
-fn apply_instance(shared: &Shared, record: &Keyed) {
+fn apply_instance(shared: &Shared, record: &KeyedRecord) {
     match instance::decode(record) {
         Ok(entry) => {
             let address = entry.as_ref().map(|entry| entry.address);
@@ -140,22 +140,22 @@
     }
 }
 
-fn apply_operator_record(shared: &Shared, record: &Keyed) {
-    match records::order(record) {
+fn apply_operator_record(shared: &Shared, record: &KeyedRecord) {
+    match records::decode_operator_record(record) {
         Err(error) => {
             log::error!(
                 key = record.key, offset = record.offset, error:%;
                 "invalid operator record"
             );
         }
-        Ok(Order::Unknown(key)) => {
+        Ok(OperatorRecord::Unknown(key)) => {
             log::info!(key, offset = record.offset; "unknown kind of operator record");
         }
-        Ok(Order::Domain(domain, out)) => {
+        Ok(OperatorRecord::Domain(domain, out)) => {
             let changed = shared.state.borrow_mut().set_domain(&domain, out);
             log::info!(domain, out, changed, offset = record.offset; "failure domain set");
         }
-        Ok(Order::Configure(config)) => {
+        Ok(OperatorRecord::Configure(config)) => {
             let (version, routes) = (config.version, config.routes());
             let taken = shared.state.borrow_mut().configure(*config);
             log::info!(version, routes, taken, offset = record.offset; "configuration read");
--- a/crates/proxy/src/buffered.rs
+++ b/crates/proxy/src/buffered.rs
@@ -14,7 +14,7 @@
         choice::{Need, Pick},
         request::Ticket,
     },
-    platform::head::{self, Verdict},
+    platform::head::{self, ResponseFlags},
 };
 
 /// Size limit of a buffered response.
@@ -38,7 +38,7 @@
     body: Bytes,
     headers: http::HeaderMap,
     status: StatusCode,
-    flags: Verdict,
+    flags: ResponseFlags,
 }
 
 /// Why there is no response.
@@ -140,8 +140,8 @@
         match exchange::send(shared, original, &destination, limit).await {
             SendOutcome::Answer(reply, flags) => {
                 let status = reply.status();
-                let headers = head::answer(reply.headers());
-                let body = reply.whole(MAX_ANSWER_BYTES).await;
+                let headers = head::response_headers(reply.headers());
+                let body = reply.read_body(MAX_ANSWER_BYTES).await;
                 Ok(BufferedAnswer {
                     body: body.map_err(|error| unknown(error.to_string()))?,
                     headers,
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -3,14 +3,14 @@
 use {
     crate::{clock, prelude::*},
     http_body_util::Full,
-    platform::head::{self, Directions, Source, Verdict},
+    platform::head::{self, ForwardingHeaders, KvSource, ResponseFlags},
 };
 
 /// Result of a send.
 #[derive(Debug)]
 pub enum SendOutcome {
     /// The endpoint answered; the body has not been read.
-    Answer(endpoint::client::Reply, Verdict),
+    Answer(endpoint::client::Reply, ResponseFlags),
     /// Nothing was written to the connection, for this reason.
     NotWritten(String),
     /// The endpoint may have run the request; why the result is unknown.
@@ -42,7 +42,7 @@
     /// Id of the last event that the caller has received, if the stream resumes after it.
     pub last_event: Option<&'a str>,
     /// Copy from which the engine continues a run.
-    pub source: Option<&'a Source>,
+    pub source: Option<&'a KvSource>,
 }
 
 /// Sends a request and waits for the head of the response, until the caller's deadline or
@@ -60,7 +60,7 @@
     let backup = destination
         .backup
         .and_then(|key| shared.endpoint_address(key));
-    let directions = Directions {
+    let directions = ForwardingHeaders {
         backup: backup.map(|(address, _)| address),
         customer: destination.customer,
         endpoint: &endpoint,
@@ -116,7 +116,7 @@
         Ok(Err(error)) if error.unwritten() => SendOutcome::NotWritten(error.to_string()),
         Ok(Err(error)) => SendOutcome::Unknown(error.to_string()),
         Ok(Ok(reply)) => {
-            let flags = head::verdict(reply.status(), reply.headers(), id);
+            let flags = head::response_flags(reply.status(), reply.headers(), id);
             if !flags.matches {
                 // A late response to an earlier request. The right one may follow, but the
                 // connection is out of step.
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -11,7 +11,7 @@
         aggregate::members::Role,
         reader::{Cause, LocalTopic, MAX_INSTANCE_LIST_AGE, MAX_WATERMARK_AGE},
     },
-    platform::store::{Keyed, Topic},
+    platform::store::{KeyedRecord, Topic},
     rand::RngExt as _,
 };
 
@@ -255,7 +255,7 @@
 
 /// Applies records that start at an offset, skipping those already known; returns the offset
 /// after the last known one.
-pub fn apply_records(shared: &Shared, topic: Topic, from: u64, records: &[Keyed]) -> u64 {
+pub fn apply_records(shared: &Shared, topic: Topic, from: u64, records: &[KeyedRecord]) -> u64 {
     let topic_state = shared.topic(topic);
     let mut position = topic_state.position.get().unwrap_or(from);
     if from > position {
--- a/crates/proxy/src/gossip/history.rs
+++ b/crates/proxy/src/gossip/history.rs
@@ -1,6 +1,6 @@
 //! Recent records of a topic, for members that lack some.
 
-use {crate::prelude::*, platform::store::Keyed, std::collections::VecDeque};
+use {crate::prelude::*, platform::store::KeyedRecord, std::collections::VecDeque};
 
 /// Limit of keys and values retained for each topic.
 pub const MAX_HISTORY_BYTES: usize = 128 << 10;
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub struct History {
     bytes: usize,
-    records: VecDeque<Keyed>,
+    records: VecDeque<KeyedRecord>,
     /// Offset after the last record.
     next: u64,
     /// When missing records were last sent to each member, sorted by name.
@@ -22,7 +22,7 @@
 impl History {
     /// Adds records that start at an offset; drops all earlier ones if some in between are
     /// missing.
-    pub fn add(&mut self, from: u64, records: &[Keyed]) {
+    pub fn add(&mut self, from: u64, records: &[KeyedRecord]) {
         if from > self.next {
             self.records.clear();
             self.bytes = 0;
@@ -44,7 +44,7 @@
     /// The records from an offset on; `None` if some of them are not retained, or there are
     /// none.
     #[must_use]
-    pub fn since(&self, from: u64) -> Option<Vec<Keyed>> {
+    pub fn since(&self, from: u64) -> Option<Vec<KeyedRecord>> {
         let first = self.records.front()?.offset;
         if from < first || from >= self.next {
             return None;
@@ -68,6 +68,6 @@
     }
 }
 
-fn size(record: &Keyed) -> usize {
+fn size(record: &KeyedRecord) -> usize {
     record.key.len() + record.value.as_ref().map_or(0, Bytes::len)
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -279,7 +279,7 @@
         tokio::select! {
             biased;
             () = self.out.closed() => Step::CallerLeft,
-            part = self.source.answer.part() => self.events(part),
+            part = self.source.answer.chunk() => self.events(part),
             moved = ended(pending_move) => Step::Moved(moved),
             () = sleep(wait) => match quiet_timeout {
                 _ if wait == remaining => Step::Expired,
@@ -298,7 +298,7 @@
     fn events(&mut self, part: Result<Option<Bytes>, endpoint::Error>) -> Step {
         match part {
             Err(error) => Step::Lost(error.to_string()),
-            Ok(None) if self.source.splitter.unfinished() => {
+            Ok(None) if self.source.splitter.has_partial_event() => {
                 Step::Lost("connection closed inside an event".to_string())
             }
             Ok(None) => Step::Ended,
@@ -311,7 +311,7 @@
 
     async fn pass_on(&mut self, blocks: Vec<Bytes>) -> Result<(), Ending> {
         for block in blocks {
-            if !self.sequence.accept(sse::id(&block)) {
+            if !self.sequence.accept(sse::event_id(&block)) {
                 continue;
             }
             if self.sequence.has_gap() {
--- a/crates/proxy/src/relay/failover.rs
+++ b/crates/proxy/src/relay/failover.rs
@@ -66,7 +66,8 @@
 
     /// Relays the events that a stopped run had already sent.
     async fn last_events(&mut self) -> Result<(), Ending> {
-        while let Ok(Ok(Some(part))) = timeout(LAST_EVENTS_TIMEOUT, self.source.answer.part()).await
+        while let Ok(Ok(Some(part))) =
+            timeout(LAST_EVENTS_TIMEOUT, self.source.answer.chunk()).await
         {
             let Ok(blocks) = self.source.splitter.feed(part) else {
                 break;
--- a/crates/proxy/src/relocate.rs
+++ b/crates/proxy/src/relocate.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{clock, gossip, prelude::*},
-    platform::engine::{self, Move},
+    platform::engine::{self, MoveResult},
 };
 
 /// Limit for copying a run. 4,000 tokens take 0.44 s between failure domains, and several
@@ -67,17 +67,19 @@
         let result = call(shared, &ends, id, false, MOVE_TIMEOUT).await;
         log::info!(id, ms = clock::now().since(started_at).as_millis(), result:?; "copied");
         return match result {
-            Ok(Move::Copied { handle, .. }) => MoveOutcome::Ready(Takeover {
+            Ok(MoveResult::Copied { handle, .. }) => MoveOutcome::Ready(Takeover {
                 address: ends.source,
                 handle,
                 key: ends.target_key,
             }),
-            Ok(Move::Refused(_)) => {
+            Ok(MoveResult::Refused(_)) => {
                 tried.push(ends.target_key);
                 continue;
             }
-            Ok(Move::NoRun) => MoveOutcome::Deferred("engine does not have the run".to_string()),
-            Ok(Move::Busy) => MoveOutcome::Deferred("a move is in progress".to_string()),
+            Ok(MoveResult::NoRun) => {
+                MoveOutcome::Deferred("engine does not have the run".to_string())
+            }
+            Ok(MoveResult::Busy) => MoveOutcome::Deferred("a move is in progress".to_string()),
             Err(why) => MoveOutcome::Deferred(why),
         };
     }
@@ -101,8 +103,8 @@
     let result = call(shared, &ends, id, true, STOP_TIMEOUT).await;
     log::info!(id, result:?; "stop requested from engine");
     match result {
-        Ok(Move::Busy) => StopOutcome::Busy,
-        Ok(Move::Copied { handle, .. }) => StopOutcome::Stopped(Takeover {
+        Ok(MoveResult::Busy) => StopOutcome::Busy,
+        Ok(MoveResult::Copied { handle, .. }) => StopOutcome::Stopped(Takeover {
             address: ends.source,
             handle,
             key: if stays {
@@ -111,12 +113,12 @@
                 ends.target_key
             },
         }),
-        Ok(Move::Refused(Some(handle))) => StopOutcome::Stopped(Takeover {
+        Ok(MoveResult::Refused(Some(handle))) => StopOutcome::Stopped(Takeover {
             address: ends.source,
             handle,
             key: ends.source_key,
         }),
-        Ok(Move::NoRun | Move::Refused(None)) => StopOutcome::Gone,
+        Ok(MoveResult::NoRun | MoveResult::Refused(None)) => StopOutcome::Gone,
         Err(_) => StopOutcome::Unreachable,
     }
 }
@@ -155,9 +157,10 @@
     id: &str,
     stop: bool,
     wait: Duration,
-) -> Result<Move, String> {
+) -> Result<MoveResult, String> {
     let (source, target) = (ends.source, ends.target);
-    let request = engine::move_run(source, id, target, stop).map_err(|error| error.to_string())?;
+    let request =
+        engine::move_request(source, id, target, stop).map_err(|error| error.to_string())?;
     let asked = async {
         let address = source.to_string();
         let answer = if stop {
@@ -167,9 +170,9 @@
         };
         let answer = answer.map_err(|error| error.to_string())?;
         let status = answer.status();
-        let body = answer.whole(MAX_ANSWER_BYTES).await;
+        let body = answer.read_body(MAX_ANSWER_BYTES).await;
         let body = body.map_err(|error| error.to_string())?;
-        engine::moved(status, &body).map_err(|error| error.to_string())
+        engine::move_result(status, &body).map_err(|error| error.to_string())
     };
     timeout(wait, asked)
         .await
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -12,7 +12,7 @@
         shared::RunGuard,
         takeover,
     },
-    endpoint::sse::Cutter,
+    endpoint::sse::EventSplitter,
     forward::{choice::Need, prelude::Run, request::Ticket},
     platform::head,
     tokio::sync::mpsc,
@@ -225,11 +225,11 @@
     key: EndpointKey,
     answer: endpoint::client::Reply,
 ) -> OpenOutcome {
-    let headers = head::answer(answer.headers());
+    let headers = head::response_headers(answer.headers());
     let mut answer = answer;
-    let mut splitter = Cutter::default();
+    let mut splitter = EventSplitter::default();
     loop {
-        let part = match answer.part().await {
+        let part = match answer.chunk().await {
             Ok(part) => part,
             Err(error) => return fail(shared, key, error.to_string()),
         };
@@ -266,8 +266,8 @@
     if matches!(status.as_u16(), 408 | 421 | 429 | 503) {
         return fail(shared, key, format!("invalid response with {status}"));
     }
-    let headers = head::answer(answer.headers());
-    match answer.whole(endpoint::sse::MOST).await {
+    let headers = head::response_headers(answer.headers());
+    match answer.read_body(endpoint::sse::MAX_EVENT_BYTES).await {
         Ok(body) => OpenOutcome::Answer(reply::whole(status, headers, body)),
         Err(error) => fail(shared, key, error.to_string()),
     }
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -7,7 +7,7 @@
         prelude::*,
         relocate::{self, MoveOutcome, Takeover},
     },
-    endpoint::sse::Cutter,
+    endpoint::sse::EventSplitter,
     forward::request::Ticket,
     platform::head,
 };
@@ -25,7 +25,7 @@
     /// The engine's response, whose body is still being read.
     pub answer: endpoint::client::Reply,
     /// Splits the body into events.
-    pub splitter: Cutter,
+    pub splitter: EventSplitter,
     /// The engine.
     pub key: EndpointKey,
 }
@@ -127,7 +127,7 @@
     ///
     /// The engine refused, or did not respond.
     pub async fn open_from_copy(&self, takeover: &Takeover, why: &str) -> Result<Opened, Failure> {
-        let source = head::Source {
+        let source = head::KvSource {
             address: takeover.address,
             handle: takeover.handle.clone(),
         };
@@ -146,7 +146,7 @@
     async fn ask(
         &self,
         key: EndpointKey,
-        source: Option<&head::Source>,
+        source: Option<&head::KvSource>,
         why: &str,
     ) -> Result<Opened, Failure> {
         let started_at = clock::now();
@@ -175,7 +175,7 @@
                     backup,
                     source: EventSource {
                         answer,
-                        splitter: Cutter::default(),
+                        splitter: EventSplitter::default(),
                         key,
                     },
                 })
