--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,27 +1,27 @@
-//! Why a request ended as it did.
+//! Causes that requests are classified by.
 
 use std::fmt::{self, Display, Formatter};
 
 /// Why a request ended as it did.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Cause {
-    /// Answered whole and in time.
+    /// Answered completely and within its target.
     Answered,
-    /// Ended with an outcome that the log line names, such as a refusal.
+    /// Any other outcome, as named by the log line, such as a rejection.
     Ended(String),
-    /// A stream was complete, with a pause that was too long.
+    /// The stream completed, but a pause between events exceeded the limit.
     LatePause,
-    /// Answered whole, or begun, after its target.
+    /// The answer, or the first event of the stream, came after its target.
     LateStart,
-    /// A stream whose engine was lost, and the copy could not go on.
+    /// The engine of the stream was lost and the copy on another engine could not take over.
     LostCopyFailed,
-    /// A stream whose engine left before its move was through.
+    /// The engine of the stream left before the move to another engine completed.
     LostMoving,
-    /// A stream whose engine left while no other one had room.
-    LostNoRoom,
-    /// A stream whose engine was lost without a word, and without a copy.
+    /// The engine of the stream left while no other engine had capacity.
+    LostNoCapacity,
+    /// The engine of the stream was lost without notice and there was no copy.
     LostUnannounced,
-    /// Sent, with no line on its end: its instance was lost, or still serves it.
+    /// No line reports the end: the instance was lost or is still serving the request.
     Open,
 }
 
@@ -34,7 +34,7 @@
             Self::LateStart => "late: the answer or first event",
             Self::LostCopyFailed => "lost: the copy could not go on",
             Self::LostMoving => "lost: engine left before the move was through",
-            Self::LostNoRoom => "lost: engine left, no other had room",
+            Self::LostNoCapacity => "lost: engine left, no other had room",
             Self::LostUnannounced => "lost: engine gone without a word, no copy",
             Self::Open => "open: no line on its end",
         })
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,7 +1,6 @@
-//! From the log lines of instances that forward to the cause of each request's end.
+//! Classifies how each request ended from the log lines of forwarding instances.
 //!
-//! The package is pure: it reads lines and gives back a table. It knows the log lines of
-//! this program and nothing of where they were kept.
+//! The package performs no I/O: callers pass in log lines and get back a table.
 
 pub mod cause;
 pub mod request;
--- a/crates/explain/src/request.rs
+++ b/crates/explain/src/request.rs
@@ -1,4 +1,4 @@
-//! What the log lines say of each request.
+//! Collects the log lines of each request.
 
 use {
     crate::Cause,
@@ -6,9 +6,9 @@
     std::collections::{BTreeMap, btree_map},
 };
 
-/// A log line, as far as it tells of a request.
+/// The fields of a log line that concern a request.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     event: String,
     #[serde(default)]
     id: String,
@@ -31,57 +31,57 @@
     why: String,
 }
 
-/// What is known of one request.
+/// State of one request, as far as its log lines tell.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Request {
-    /// How it ended, once a line said so.
+    /// Cause of its end, once a line reported it.
     pub cause: Option<Cause>,
     /// Wall time of its last line, in milliseconds.
-    pub last: u64,
-    /// When and how a move of its run last went on.
-    step: Option<(u64, Step)>,
+    pub last_ms: u64,
+    /// Wall time in milliseconds and outcome of the last attempt to move it to another engine.
+    last_move: Option<(u64, MoveState)>,
 }
 
-/// How far a move of a run came.
+/// State of a move to another engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Step {
-    /// No engine had room.
-    NoRoom,
-    /// It was under way.
-    Under,
+enum MoveState {
+    /// No engine had capacity.
+    NoCapacity,
+    /// The move was in progress.
+    InProgress,
 }
 
-/// Time before a loss in which a move belongs to it, in milliseconds; engines leave with
-/// two seconds of notice or less.
-const NOTICE: u64 = 3000;
+/// A loss is attributed to a move attempted at most this long before it, in milliseconds.
+/// Engines give at most two seconds of notice before they leave.
+const MOVE_ATTRIBUTION_MS: u64 = 3000;
 
-/// All requests that the lines name, by id.
+/// All requests found in the log lines, by id.
 #[derive(Debug, Default)]
 pub struct Requests {
     by_id: BTreeMap<String, Request>,
-    /// Lines that could not be read.
-    pub unreadable: usize,
+    /// Number of lines that could not be parsed.
+    pub unreadable_lines: usize,
 }
 
 impl Requests {
-    /// Takes a line in. Whatever stands before its object, such as a collector's time and
-    /// name, is passed over.
+    /// Parses a log line. Text before the JSON object, such as the timestamp and name that a
+    /// log collector adds, is skipped.
     pub fn read(&mut self, line: &str) {
         let Some(start) = line.find("{\"") else {
-            self.unreadable += usize::from(!line.trim().is_empty());
+            self.unreadable_lines += usize::from(!line.trim().is_empty());
             return;
         };
-        let Ok(line) = serde_json::from_str::<Line>(line[start..].trim_end()) else {
-            self.unreadable += 1;
+        let Ok(line) = serde_json::from_str::<LogLine>(line[start..].trim_end()) else {
+            self.unreadable_lines += 1;
             return;
         };
         if !line.id.is_empty() {
             let request = self.by_id.entry(line.id.clone()).or_default();
-            request.take(&line);
+            request.update(&line);
         }
     }
 
-    /// All requests with their ids.
+    /// Iterates over all requests and their ids.
     pub fn iter(&self) -> btree_map::Iter<'_, String, Request> {
         self.by_id.iter()
     }
@@ -97,48 +97,52 @@
 }
 
 impl Request {
-    fn take(&mut self, line: &Line) {
-        self.last = self.last.max(line.t);
+    fn update(&mut self, line: &LogLine) {
+        self.last_ms = self.last_ms.max(line.t);
         match line.event.as_str() {
-            "move begins" | "copied" => self.step = Some((line.t, Step::Under)),
+            "move begins" | "copied" => self.last_move = Some((line.t, MoveState::InProgress)),
             "move put off" => {
-                let full = line.why == "no engine with room";
-                let step = if full { Step::NoRoom } else { Step::Under };
-                self.step = Some((line.t, step));
+                let no_capacity = line.why == "no engine with room";
+                let state = if no_capacity {
+                    MoveState::NoCapacity
+                } else {
+                    MoveState::InProgress
+                };
+                self.last_move = Some((line.t, state));
             }
-            "request ended" => self.cause = Some(plain(line)),
-            "stream ended" => self.cause = Some(self.stream(line)),
+            "request ended" => self.cause = Some(request_cause(line)),
+            "stream ended" => self.cause = Some(self.stream_cause(line)),
             _ => {}
         }
     }
 
-    fn stream(&self, line: &Line) -> Cause {
+    fn stream_cause(&self, line: &LogLine) -> Cause {
         let late = |limit: u64, took: u64| limit > 0 && took > limit;
         match line.outcome.as_str() {
             "complete" if late(line.target_ms, line.first_ms) => Cause::LateStart,
             "complete" if late(line.gap_ms, line.pause_ms) => Cause::LatePause,
             "complete" => Cause::Answered,
-            "lost" => self.loss(line),
+            "lost" => self.loss_cause(line),
             other => Cause::Ended(other.to_string()),
         }
     }
 
-    fn loss(&self, line: &Line) -> Cause {
+    fn loss_cause(&self, line: &LogLine) -> Cause {
         if !line.why.ends_with("no copy") {
             return Cause::LostCopyFailed;
         }
-        let step = self
-            .step
-            .filter(|(at, _)| line.t.saturating_sub(*at) < NOTICE);
-        match step {
+        let last_move = self
+            .last_move
+            .filter(|(at, _)| line.t.saturating_sub(*at) < MOVE_ATTRIBUTION_MS);
+        match last_move {
             None => Cause::LostUnannounced,
-            Some((_, Step::NoRoom)) => Cause::LostNoRoom,
-            Some((_, Step::Under)) => Cause::LostMoving,
+            Some((_, MoveState::NoCapacity)) => Cause::LostNoCapacity,
+            Some((_, MoveState::InProgress)) => Cause::LostMoving,
         }
     }
 }
 
-fn plain(line: &Line) -> Cause {
+fn request_cause(line: &LogLine) -> Cause {
     match line.outcome.as_str() {
         "answered" if line.target_ms > 0 && line.ms > line.target_ms => Cause::LateStart,
         "answered" => Cause::Answered,
--- a/crates/explain/src/table.rs
+++ b/crates/explain/src/table.rs
@@ -1,4 +1,4 @@
-//! Causes with their counts, moments and examples.
+//! Requests grouped by cause, with counts, times and examples.
 
 use {
     crate::{Cause, Requests},
@@ -6,43 +6,43 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// Ids shown for a cause.
-const EXAMPLES: usize = 3;
+/// Number of request ids shown per cause.
+const MAX_EXAMPLES: usize = 3;
 
-/// Requests that ended for one cause.
+/// The requests of one cause.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// The cause, in words.
+    /// Text of the cause.
     pub cause: String,
     /// Number of requests.
     pub count: usize,
-    /// Some of their ids.
+    /// The first request ids by time.
     pub examples: Vec<String>,
     /// Wall time of the first end, in milliseconds.
     pub first: u64,
     /// Wall time of the last end, in milliseconds.
     pub last: u64,
-    /// The second with the most ends, as wall time in seconds, and their number.
+    /// The second with the most ends (wall time in seconds) and their number.
     pub worst_second: (u64, usize),
 }
 
-/// All causes, the most frequent first.
+/// All causes, most frequent first.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Table {
-    /// One row for each cause.
+    /// One row per cause.
     pub rows: Vec<Row>,
-    /// Log lines that could not be read.
+    /// Number of log lines that could not be parsed.
     pub unreadable_lines: usize,
 }
 
 impl Table {
-    /// Sums requests up by cause.
+    /// Groups requests by cause.
     #[must_use]
     pub fn new(requests: &Requests) -> Self {
         let mut ends = Vec::new();
         for (id, request) in requests {
             let cause = request.cause.clone().unwrap_or(Cause::Open);
-            ends.push((cause, request.last, id.as_str()));
+            ends.push((cause, request.last_ms, id.as_str()));
         }
         ends.sort();
         let groups = ends.chunk_by(|one, other| one.0 == other.0);
@@ -50,15 +50,15 @@
         rows.sort_by(|one, other| (other.count, &one.cause).cmp(&(one.count, &other.cause)));
         Self {
             rows,
-            unreadable_lines: requests.unreadable,
+            unreadable_lines: requests.unreadable_lines,
         }
     }
 }
 
-/// A row for ends of one cause, sorted by time.
+/// Builds the row of one cause from its ends, which are sorted by time.
 fn row(ends: &[(Cause, u64, &str)]) -> Row {
     let times = ends.iter().map(|(_, at, _)| *at);
-    let examples = ends.iter().take(EXAMPLES);
+    let examples = ends.iter().take(MAX_EXAMPLES);
     let seconds = ends.chunk_by(|one, other| one.1 / 1000 == other.1 / 1000);
     let worst = seconds.max_by_key(|ends| ends.len());
     Row {
@@ -72,7 +72,7 @@
 }
 
 impl Display for Table {
-    /// Markdown; times count from the earliest end.
+    /// Writes a Markdown table with times relative to the earliest end.
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let start = self.rows.iter().map(|row| row.first).min();
         let start = start.unwrap_or_default();
@@ -101,7 +101,7 @@
     }
 }
 
-/// Milliseconds as seconds with one place.
+/// Formats milliseconds as seconds with one decimal.
 fn seconds(millis: u64) -> String {
     format!("{}.{}", millis / 1000, millis % 1000 / 100)
 }
--- a/crates/explain/tests/causes.rs
+++ b/crates/explain/tests/causes.rs
@@ -1,8 +1,8 @@
-//! From log lines to causes.
+//! Classification of requests by their log lines.
 
 use explain::{Requests, Table};
 
-/// The rows of a table as cause and count.
+/// Returns the cause and count of each row.
 fn causes(lines: &[&str]) -> Vec<(String, usize)> {
     let rows = table(lines).rows.into_iter();
     rows.map(|row| (row.cause, row.count)).collect()
@@ -16,10 +16,10 @@
     Table::new(&requests)
 }
 
-/// Engines leave, die and are cut off, and each takes streams with it. On-call engineers
-/// need to see at once for which of these reasons callers lost their answers.
+/// On-call engineers need to tell apart streams lost to a departing engine, a crash or a lack
+/// of capacity.
 #[test]
-fn a_lost_stream_is_put_down_to_what_went_before_it() {
+fn lost_stream_is_attributed_to_the_preceding_move() {
     let lost = r#"{"t":5000,"event":"stream ended","id":"ID","outcome":"lost","why":"WHY"}"#;
     let lost = |id: &str, why: &str| lost.replace("ID", id).replace("WHY", why);
     let lines = [
@@ -29,7 +29,7 @@
         r#"{"t":4000,"event":"move begins","id":"r3"}"#.to_string(),
         lost("r3", "connection broke; no copy"),
         lost("r4", "connection broke; copy cannot connect"),
-        // A move that was over long before has nothing to do with the loss.
+        // This move is too old to be related to the loss.
         r#"{"t":1000,"event":"move put off","id":"r5","why":"no engine with room"}"#.to_string(),
         lost("r5", "connection broke; no copy"),
     ];
@@ -46,10 +46,10 @@
     );
 }
 
-/// Whole answers may still be late, by their own targets; refusals keep their names; and a
-/// request whose instance was lost has no line on its end.
+/// Complete answers can miss their targets, rejections keep the name of their outcome, and a
+/// request whose instance was lost has no line that reports its end.
 #[test]
-fn late_refused_and_open_requests_are_told_apart() {
+fn late_rejected_and_open_requests_get_distinct_causes() {
     let lines = [
         r#"{"t":1,"event":"request ended","id":"r1","outcome":"answered","ms":90,"target_ms":300}"#,
         r#"{"t":2,"event":"request ended","id":"r2","outcome":"answered","ms":900,"target_ms":300}"#,
@@ -68,10 +68,10 @@
     assert_eq!(causes(&lines), expected.map(|cause| (cause.to_string(), 1)));
 }
 
-/// Collectors put a time and a name before each line, and a line may be cut off. What can
-/// be read counts, and what cannot is said.
+/// Log collectors prefix lines with a timestamp and a name, and may truncate them. Prefixed
+/// lines are parsed, truncated ones counted.
 #[test]
-fn lines_of_collectors_are_read_and_broken_ones_counted() {
+fn prefixed_lines_are_parsed_and_truncated_ones_counted() {
     let table = table(&[
         r#"12:00:01 entry-1 {"t":61000,"event":"request ended","id":"r1","outcome":"full"}"#,
         r#"{"t":62000,"event":"request ended","id":"r2","outcome":"full"}"#,
