--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -183,7 +183,7 @@
 }
 
 fn link(settings: &Settings, questions: Sender<Asked>) -> Result<Option<Link>, Error> {
-    let Some(side) = &settings.fellow else {
+    let Some(side) = &settings.peer else {
         return Ok(None);
     };
     let configs = fellow::tls::configs(&fellow::tls::Files {
--- a/crates/operator/src/fault.rs
+++ b/crates/operator/src/fault.rs
@@ -1,19 +1,19 @@
-//! Faults found in files.
+//! Errors found in settings and record files.
 
 use crate::prelude::*;
 
-/// One fault, with all that is needed to mend it.
+/// One error in a file, with what an operator needs to correct it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// What would be right.
+    /// The values that are allowed.
     pub allowed: String,
-    /// The file as it was named.
+    /// Name of the file.
     pub file: String,
-    /// What stands there.
+    /// The value that was found.
     pub found: String,
-    /// The key, with the tables it stands in.
+    /// Path of the key, including its tables.
     pub key: String,
-    /// Line in the file, counted from one.
+    /// Line number, starting at 1.
     pub line: usize,
 }
 
--- a/crates/operator/src/prelude.rs
+++ b/crates/operator/src/prelude.rs
@@ -1,10 +1,10 @@
-//! Names that most modules of this package use.
+//! Common imports of this package.
 
 pub use {
     crate::{
+        duration,
         fault::Fault,
         reader::{Reader, Section},
-        span,
     },
     decision::limits::Limits,
     std::{
--- a/crates/operator/src/reader.rs
+++ b/crates/operator/src/reader.rs
@@ -1,11 +1,10 @@
-//! Reading of TOML that reports every fault with its line.
+//! TOML reader that reports every fault with its line number.
 //!
-//! Deserialising into a structure would stop at the first fault; operators want
-//! the whole list at once.
+//! `serde` deserialization would stop at the first fault.
 
 use crate::prelude::*;
 
-/// A file being read, and the faults found in it so far.
+/// A file and the faults found in it so far.
 #[derive(Debug)]
 pub struct Reader<'a> {
     faults: RefCell<Vec<Fault>>,
@@ -13,18 +12,18 @@
     text: &'a str,
 }
 
-/// One table of the file.
+/// A table of the file.
 #[derive(Debug)]
 pub struct Section<'a> {
     line: usize,
     path: String,
     reader: &'a Reader<'a>,
-    seen: RefCell<Vec<String>>,
+    read_keys: RefCell<Vec<String>>,
     table: Option<&'a DeTable<'a>>,
 }
 
 impl<'a> Reader<'a> {
-    /// Begins to read `text`, which is called `file` in faults.
+    /// Creates a reader for `text`; faults name it `file`.
     #[must_use]
     pub const fn new(file: &'a str, text: &'a str) -> Self {
         Self {
@@ -34,13 +33,13 @@
         }
     }
 
-    /// Parses the text; syntax faults are noted.
+    /// Parses the text and records syntax errors as faults.
     #[must_use]
     pub fn parse(&self) -> DeTable<'a> {
         let (table, errors) = DeTable::parse_recoverable(self.text);
         for error in errors {
             let line = error.span().map_or(1, |span| self.line(span.start));
-            self.note(
+            self.report(
                 line,
                 "",
                 &format!("a syntax error ({})", error.message()),
@@ -50,19 +49,19 @@
         table.into_inner()
     }
 
-    /// The outermost table.
+    /// Returns the root table.
     #[must_use]
     pub fn root(&'a self, table: &'a DeTable<'a>) -> Section<'a> {
         Section {
             line: 1,
             path: String::new(),
             reader: self,
-            seen: RefCell::new(Vec::new()),
+            read_keys: RefCell::new(Vec::new()),
             table: Some(table),
         }
     }
 
-    /// The faults found, sorted by line.
+    /// Returns the faults found, sorted by line.
     #[must_use]
     pub fn faults(self) -> Vec<Fault> {
         let mut faults = self.faults.into_inner();
@@ -70,12 +69,12 @@
         faults
     }
 
-    fn line(&self, place: usize) -> usize {
-        let before = self.text.get(..place).unwrap_or(self.text);
+    fn line(&self, offset: usize) -> usize {
+        let before = self.text.get(..offset).unwrap_or(self.text);
         before.bytes().filter(|byte| *byte == b'\n').count() + 1
     }
 
-    fn note(&self, line: usize, key: &str, found: &str, allowed: &str) {
+    fn report(&self, line: usize, key: &str, found: &str, allowed: &str) {
         self.faults.borrow_mut().push(Fault {
             allowed: allowed.to_string(),
             file: self.file.to_string(),
@@ -87,30 +86,31 @@
 }
 
 impl<'a> Section<'a> {
-    /// Whether the table stands in the file.
+    /// Whether the table is present in the file.
     #[must_use]
-    pub const fn present(&self) -> bool {
+    pub const fn is_present(&self) -> bool {
         self.table.is_some()
     }
 
-    /// Full name of a key.
+    /// Returns the dotted path of a key.
     #[must_use]
-    pub fn name(&self, key: &str) -> String {
+    pub fn key_path(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.to_string();
         }
         format!("{}.{key}", self.path)
     }
 
-    /// Notes a fault of a key that was read.
+    /// Reports a fault at a key of this table.
     pub fn fault(&self, key: &str, found: &str, allowed: &str) {
         let line = self
             .get(key)
             .map_or(self.line, |value| self.reader.line(value.span().start));
-        self.reader.note(line, &self.name(key), found, allowed);
+        self.reader
+            .report(line, &self.key_path(key), found, allowed);
     }
 
-    /// A table below this one; an absent one reads as all defaults.
+    /// Returns a subtable; if it is absent, every key reads as absent.
     #[must_use]
     pub fn section(&self, key: &str) -> Section<'a> {
         let value = self.get(key);
@@ -123,14 +123,14 @@
         });
         Section {
             line: value.map_or(self.line, |value| self.reader.line(value.span().start)),
-            path: self.name(key),
+            path: self.key_path(key),
             reader: self.reader,
-            seen: RefCell::new(Vec::new()),
+            read_keys: RefCell::new(Vec::new()),
             table,
         }
     }
 
-    /// The tables below this one, by name.
+    /// Returns all subtables by name.
     #[must_use]
     pub fn sections(&self) -> Vec<(String, Section<'a>)> {
         let names = self.table.iter().flat_map(|table| table.keys());
@@ -139,7 +139,7 @@
             .collect()
     }
 
-    /// A text; absent and without a default it is a fault.
+    /// Reads a string; if it is absent and has no default, that is a fault.
     pub fn string(&self, key: &str, default: Option<&str>) -> String {
         match self.get(key).map(Spanned::get_ref) {
             Some(DeValue::String(text)) => text.to_string(),
@@ -147,17 +147,17 @@
                 self.fault(key, &describe(other), "a text");
                 String::new()
             }
-            None => self.absent(key, default.map(str::to_string), "a text"),
+            None => self.default_or_fault(key, default.map(str::to_string), "a text"),
         }
     }
 
-    /// A text that may be absent.
-    pub fn optional(&self, key: &str) -> Option<String> {
+    /// Reads an optional string.
+    pub fn optional_string(&self, key: &str) -> Option<String> {
         self.get(key)?;
         Some(self.string(key, Some("")))
     }
 
-    /// A list of texts, empty if absent.
+    /// Reads a list of strings, empty if absent.
     pub fn strings(&self, key: &str) -> Vec<String> {
         let Some(value) = self.get(key) else {
             return Vec::new();
@@ -176,7 +176,7 @@
         texts
     }
 
-    /// Tables in a list, empty if absent.
+    /// Reads a list of tables, empty if absent.
     #[must_use]
     pub fn list(&self, key: &str) -> Vec<Section<'a>> {
         let Some(value) = self.get(key) else {
@@ -187,39 +187,39 @@
             return Vec::new();
         };
         let mut sections = Vec::new();
-        for (place, value) in array.iter().enumerate() {
+        for (index, value) in array.iter().enumerate() {
             let DeValue::Table(table) = value.get_ref() else {
                 self.fault(key, &describe(value.get_ref()), "a list of tables");
                 continue;
             };
             sections.push(Section {
                 line: self.reader.line(value.span().start),
-                path: format!("{}[{place}]", self.name(key)),
+                path: format!("{}[{index}]", self.key_path(key)),
                 reader: self.reader,
-                seen: RefCell::new(Vec::new()),
+                read_keys: RefCell::new(Vec::new()),
                 table: Some(table),
             });
         }
         sections
     }
 
-    /// A truth value.
-    pub fn flag(&self, key: &str, default: Option<bool>) -> bool {
+    /// Reads a boolean.
+    pub fn boolean(&self, key: &str, default: Option<bool>) -> bool {
         match self.get(key).map(Spanned::get_ref) {
             Some(DeValue::Boolean(flag)) => *flag,
             Some(other) => {
                 self.fault(key, &describe(other), "true or false");
                 false
             }
-            None => self.absent(key, default, "true or false"),
+            None => self.default_or_fault(key, default, "true or false"),
         }
     }
 
-    /// A whole number within bounds.
+    /// Reads an integer within `range`.
     pub fn integer(&self, key: &str, default: Option<u64>, range: RangeInclusive<u64>) -> u64 {
         let allowed = format!("a whole number from {} to {}", range.start(), range.end());
         let Some(value) = self.get(key) else {
-            return self.absent(key, default, &allowed);
+            return self.default_or_fault(key, default, &allowed);
         };
         let number = match value.get_ref() {
             DeValue::Integer(number) => u64::from_str_radix(number.as_str(), number.radix()).ok(),
@@ -233,39 +233,47 @@
         }
     }
 
-    /// A whole number that may be absent.
-    pub fn number(&self, key: &str) -> Option<u64> {
+    /// Reads an optional integer.
+    pub fn optional_integer(&self, key: &str) -> Option<u64> {
         self.get(key)?;
         Some(self.integer(key, None, 0..=u64::MAX))
     }
 
-    /// A whole number that fits 32 bits.
-    pub fn small(&self, key: &str, default: Option<u32>, range: RangeInclusive<u32>) -> u32 {
+    /// Reads a 32-bit integer within `range`.
+    pub fn integer_u32(&self, key: &str, default: Option<u32>, range: RangeInclusive<u32>) -> u32 {
         let wide = u64::from(*range.start())..=u64::from(*range.end());
         let number = self.integer(key, default.map(u64::from), wide);
         u32::try_from(number).unwrap_or(u32::MAX)
     }
 
-    /// A length of time within bounds.
-    pub fn span(&self, key: &str, default: Duration, range: RangeInclusive<Duration>) -> Duration {
+    /// Reads a duration within `range`.
+    pub fn duration(
+        &self,
+        key: &str,
+        default: Duration,
+        range: RangeInclusive<Duration>,
+    ) -> Duration {
         if self.get(key).is_none() {
-            return self.absent(key, Some(default), "");
+            return self.default_or_fault(key, Some(default), "");
         }
         let text = self.string(key, Some(""));
-        if let Some(span) = span::parse(&text).filter(|span| range.contains(span)) {
-            span
+        if let Some(duration) = duration::parse(&text).filter(|duration| range.contains(duration)) {
+            duration
         } else {
-            let (least, most) = (span::render(*range.start()), span::render(*range.end()));
+            let (min, max) = (
+                duration::render(*range.start()),
+                duration::render(*range.end()),
+            );
             self.fault(
                 key,
                 &format!("{text:?}"),
-                &format!("a time from {least} to {most}, like \"3s\""),
+                &format!("a time from {min} to {max}, like \"3s\""),
             );
             default
         }
     }
 
-    /// An IP address with a port.
+    /// Reads an IP address with a port.
     pub fn address(&self, key: &str, default: Option<&str>) -> String {
         let text = self.string(key, default);
         if self.get(key).is_some() && text.parse::<SocketAddr>().is_err() {
@@ -278,59 +286,63 @@
         text
     }
 
-    /// A name of letters, digits, `-`, `_` and `.`.
-    pub fn label(&self, key: &str) -> String {
+    /// Reads an identifier, as accepted by [`is_identifier`].
+    pub fn identifier(&self, key: &str) -> String {
         let text = self.string(key, None);
-        if self.get(key).is_some() && !is_label(&text) {
-            self.fault(key, &format!("{text:?}"), LABEL);
+        if self.get(key).is_some() && !is_identifier(&text) {
+            self.fault(key, &format!("{text:?}"), IDENTIFIER_RULE);
         }
         text
     }
 
-    /// Notes every key that was not read.
-    pub fn close(self) {
+    /// Reports every key that was not read as unknown.
+    pub fn finish(self) {
         let Some(table) = self.table else {
             return;
         };
-        let mut seen = self.seen.borrow().clone();
-        seen.sort();
-        seen.dedup();
+        let mut known_keys = self.read_keys.borrow().clone();
+        known_keys.sort();
+        known_keys.dedup();
         for key in table.keys() {
-            if seen.iter().any(|name| name == key.get_ref()) {
+            if known_keys.iter().any(|name| name == key.get_ref()) {
                 continue;
             }
             let line = self.reader.line(key.span().start);
-            let allowed = format!("one of {}", seen.join(", "));
-            self.reader
-                .note(line, &self.name(key.get_ref()), "an unknown key", &allowed);
+            let allowed = format!("one of {}", known_keys.join(", "));
+            self.reader.report(
+                line,
+                &self.key_path(key.get_ref()),
+                "an unknown key",
+                &allowed,
+            );
         }
     }
 
-    fn absent<T: Default>(&self, key: &str, default: Option<T>, allowed: &str) -> T {
+    fn default_or_fault<T: Default>(&self, key: &str, default: Option<T>, allowed: &str) -> T {
         default.unwrap_or_else(|| {
             self.reader
-                .note(self.line, &self.name(key), "nothing", allowed);
+                .report(self.line, &self.key_path(key), "nothing", allowed);
             T::default()
         })
     }
 
     fn get(&self, key: &str) -> Option<&'a Spanned<DeValue<'a>>> {
-        let mut seen = self.seen.borrow_mut();
-        if !seen.iter().any(|name| name == key) {
-            seen.push(key.to_string());
+        let mut read_keys = self.read_keys.borrow_mut();
+        if !read_keys.iter().any(|name| name == key) {
+            read_keys.push(key.to_string());
         }
         self.table?.get(key)
     }
 }
 
-/// What [`is_label`] takes, for faults.
-pub const LABEL: &str = "1 to 64 letters, digits, '-', '_' or '.'";
+/// What [`is_identifier`] accepts, as fault text.
+pub const IDENTIFIER_RULE: &str = "1 to 64 letters, digits, '-', '_' or '.'";
 
-/// Whether a text can name something.
+/// Whether `text` is a valid identifier.
 #[must_use]
-pub fn is_label(text: &str) -> bool {
-    let fits = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    (1..=64).contains(&text.len()) && text.chars().all(fits)
+pub fn is_identifier(text: &str) -> bool {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    (1..=64).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
 fn describe(value: &DeValue) -> String {
--- a/crates/operator/src/record.rs
+++ b/crates/operator/src/record.rs
@@ -8,13 +8,13 @@
     std::fmt::Write as _,
 };
 
-/// Reads a record from the text of a file or of the log.
+/// Parses a record from a file or from the log.
 ///
-/// A record with a newer schema is not looked into.
+/// The content of a record with a newer schema is ignored.
 ///
 /// # Errors
 ///
-/// Every fault found, sorted by line.
+/// Returns every fault found, sorted by line.
 pub fn parse(file: &str, text: &str) -> Result<Record, Vec<Fault>> {
     let reader = Reader::new(file, text);
     let table = reader.parse();
@@ -30,7 +30,7 @@
 
 fn read<'a>(reader: &'a Reader<'a>, table: &'a DeTable<'a>) -> Record {
     let root = reader.root(table);
-    let schema = root.small("schema", None, 1..=u32::MAX);
+    let schema = root.integer_u32("schema", None, 1..=u32::MAX);
     let mut record = Record {
         changes: Vec::new(),
         schema,
@@ -43,20 +43,20 @@
         for (name, section) in section.sections() {
             record.changes.push(change(kind, name, section));
         }
-        section.close();
+        section.finish();
     }
-    root.close();
+    root.finish();
     record
 }
 
 fn change(kind: Kind, name: String, section: Section) -> Change {
-    if !reader::is_label(&name) {
-        section.fault("", &format!("the name {name:?}"), reader::LABEL);
+    if !reader::is_identifier(&name) {
+        section.fault("", &format!("the name {name:?}"), reader::IDENTIFIER_RULE);
     }
-    let remove = section.flag("remove", Some(false));
-    let replaces = section.number("replaces");
+    let remove = section.boolean("remove", Some(false));
+    let replaces = section.optional_integer("replaces");
     let body = (!remove).then(|| body(kind, &section));
-    section.close();
+    section.finish();
     Change {
         body,
         item: Item { kind, name },
@@ -69,14 +69,14 @@
         Kind::Customer => Body::Customer(customer(section)),
         Kind::Domain => Body::Domain(domain(section)),
         Kind::Endpoint => Body::Endpoint(Facts {
-            checks_fencing: section.flag("checks_fencing", Some(false)),
-            cold_limit: section.small("cold_limit", Some(8), 0..=1_000_000),
-            cold_time: section.span(
+            checks_fencing: section.boolean("checks_fencing", Some(false)),
+            cold_limit: section.integer_u32("cold_limit", Some(8), 0..=1_000_000),
+            cold_time: section.duration(
                 "cold_time",
                 Facts::default().cold_time,
                 Duration::ZERO..=Duration::from_hours(1),
             ),
-            deduplicates: section.flag("deduplicates", Some(false)),
+            deduplicates: section.boolean("deduplicates", Some(false)),
         }),
         Kind::Route => Body::Route(route(section)),
         Kind::Service => Body::Service(Service {
@@ -88,7 +88,7 @@
 fn customer(section: &Section) -> Customer {
     let mut credentials = Vec::new();
     for text in section.strings("key_hashes") {
-        match settings::hex(&text) {
+        match settings::decode_hex(&text) {
             Some(hash) => credentials.push(hash),
             None => section.fault(
                 "key_hashes",
@@ -99,14 +99,15 @@
     }
     Customer {
         credentials,
-        priority: u8::try_from(section.small("priority", Some(100), 0..=255)).unwrap_or(u8::MAX),
-        weight: section.small("weight", Some(1), 1..=1_000_000),
+        priority: u8::try_from(section.integer_u32("priority", Some(100), 0..=255))
+            .unwrap_or(u8::MAX),
+        weight: section.integer_u32("weight", Some(1), 1..=1_000_000),
     }
 }
 
 fn domain(section: &Section) -> Domain {
     let state = section.string("state", None);
-    if section.present() && !matches!(state.as_str(), "in" | "out" | "") {
+    if section.is_present() && !matches!(state.as_str(), "in" | "out" | "") {
         section.fault("state", &format!("{state:?}"), "\"in\" or \"out\"");
     }
     Domain {
@@ -119,9 +120,9 @@
     for version in section.list("versions") {
         versions.push(Version {
             model: version.string("model", None),
-            share: version.small("share", Some(1), 0..=1_000_000),
+            share: version.integer_u32("share", Some(1), 0..=1_000_000),
         });
-        version.close();
+        version.finish();
     }
     if versions.iter().all(|version| version.share == 0) {
         section.fault(
@@ -131,12 +132,12 @@
         );
     }
     Route {
-        expected_tokens: section.small("expected_tokens", Some(256), 1..=1_000_000),
+        expected_tokens: section.integer_u32("expected_tokens", Some(256), 1..=1_000_000),
         versions,
     }
 }
 
-/// Writes a change as a record of its own that replaces `version`.
+/// Renders a record with a single change that replaces `version`.
 #[must_use]
 pub fn render(item: &Item, body: &Body, version: Option<u64>) -> String {
     let mut text = format!(
@@ -145,7 +146,7 @@
         item.name
     );
     if let Some(version) = version {
-        line(&mut text, "replaces", &version.to_string());
+        write_key(&mut text, "replaces", &version.to_string());
     }
     match body {
         Body::Customer(customer) => {
@@ -156,31 +157,31 @@
             let hashes = hashes
                 .map(|hash| format!("{:?}", hash.as_str()))
                 .collect::<Vec<_>>();
-            line(&mut text, "key_hashes", &format!("[{}]", hashes.join(", ")));
-            line(&mut text, "priority", &customer.priority.to_string());
-            line(&mut text, "weight", &customer.weight.to_string());
+            write_key(&mut text, "key_hashes", &format!("[{}]", hashes.join(", ")));
+            write_key(&mut text, "priority", &customer.priority.to_string());
+            write_key(&mut text, "weight", &customer.weight.to_string());
         }
-        Body::Domain(domain) => line(
+        Body::Domain(domain) => write_key(
             &mut text,
             "state",
             if domain.out { "\"out\"" } else { "\"in\"" },
         ),
         Body::Endpoint(facts) => {
-            line(
+            write_key(
                 &mut text,
                 "checks_fencing",
                 &facts.checks_fencing.to_string(),
             );
-            line(&mut text, "cold_limit", &facts.cold_limit.to_string());
-            line(
+            write_key(&mut text, "cold_limit", &facts.cold_limit.to_string());
+            write_key(
                 &mut text,
                 "cold_time",
-                &format!("{:?}", span::render(facts.cold_time)),
+                &format!("{:?}", duration::render(facts.cold_time)),
             );
-            line(&mut text, "deduplicates", &facts.deduplicates.to_string());
+            write_key(&mut text, "deduplicates", &facts.deduplicates.to_string());
         }
         Body::Route(route) => {
-            line(
+            write_key(
                 &mut text,
                 "expected_tokens",
                 &route.expected_tokens.to_string(),
@@ -194,10 +195,10 @@
                     )
                 })
                 .collect::<Vec<_>>();
-            line(&mut text, "versions", &format!("[{}]", versions.join(", ")));
+            write_key(&mut text, "versions", &format!("[{}]", versions.join(", ")));
         }
         Body::Service(service) => {
-            line(
+            write_key(
                 &mut text,
                 "idempotent",
                 &format!("{:?}", service.idempotent),
@@ -207,6 +208,6 @@
     text
 }
 
-fn line(text: &mut String, key: &str, value: &str) {
+fn write_key(text: &mut String, key: &str, value: &str) {
     writeln!(text, "{key} = {value}").expect("writing to a String cannot fail");
 }
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -1,45 +1,45 @@
-//! Settings of one instance.
+//! Settings of an instance that runs `serve`.
 
 use crate::prelude::*;
 
-/// Everything a process is told at its start.
+/// Settings read at startup.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The side towards callers.
+    /// Listener for callers.
     pub caller: Caller,
-    /// Failure domain that the instance stands in.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// The side towards fellow instances, if there is one.
-    pub fellow: Option<Fellow>,
-    /// Bounds and times of decisions.
+    /// Listener for peer instances, if enabled.
+    pub peer: Option<Peer>,
+    /// Limits and timeouts.
     pub limits: Limits,
-    /// Name of the instance, unique among those alive.
+    /// Name of the instance, unique among running instances.
     pub name: String,
-    /// The side towards operators.
+    /// Listener for operators.
     pub operator: Operator,
-    /// The platform's services.
+    /// Services of the platform.
     pub platform: Platform,
 }
 
-/// The side towards callers.
+/// Settings of the listener for callers.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_limit: usize,
-    /// Tokens kept for a caller who reads slowly.
+    /// Number of tokens buffered for a caller that reads slowly.
     pub buffer: usize,
-    /// Secret that signs resume handles, the same at all instances.
+    /// Secret that signs resume handles; must be the same on all instances.
     pub handle_secret: [u8; 32],
     /// IP address and port.
     pub listen: String,
-    /// TLS, if it is on.
+    /// TLS files, if TLS is enabled.
     pub tls: Option<Tls>,
 }
 
-/// The side towards fellow instances.
+/// Settings of the listener for peer instances.
 #[derive(Clone, Debug)]
-pub struct Fellow {
-    /// PEM file of the authority that signs every instance's certificate.
+pub struct Peer {
+    /// PEM file of the certificate authority that signs the certificates of all instances.
     pub authority: String,
     /// IP address and port.
     pub listen: String,
@@ -47,16 +47,17 @@
     pub tls: Tls,
 }
 
-/// The side towards operators.
+/// Settings of the listener for operators.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// How long a leaving instance goes on taking requests, so that the balancer notices.
+    /// How long a draining instance still accepts requests, so that the load balancer can
+    /// notice that it is not ready.
     pub drain_notice: Duration,
     /// IP address and port of health, metrics and status.
     pub listen: String,
 }
 
-/// The platform's services.
+/// Addresses of the services of the platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// IP address and port of the instance list.
@@ -67,7 +68,7 @@
     pub log: String,
 }
 
-/// PEM files of one side's certificate.
+/// PEM files of a certificate and its key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Tls {
     /// Certificate chain.
@@ -77,11 +78,11 @@
 }
 
 impl Settings {
-    /// Reads settings from the text of a file.
+    /// Parses settings from the text of a file.
     ///
     /// # Errors
     ///
-    /// Every fault found, sorted by line.
+    /// Returns every fault found, sorted by line.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
         let reader = Reader::new(file, text);
         let table = reader.parse();
@@ -101,37 +102,37 @@
     let instance = root.section("instance");
     let settings = Settings {
         caller: caller(&root),
-        domain: instance.label("domain"),
-        fellow: fellow(&root),
+        domain: instance.identifier("domain"),
+        peer: peer(&root),
         limits: limits(&root),
-        name: instance.label("name"),
+        name: instance.identifier("name"),
         operator: operator(&root),
         platform: platform(&root),
     };
-    instance.close();
-    root.close();
+    instance.finish();
+    root.finish();
     settings
 }
 
 fn caller(root: &Section) -> Caller {
     let section = root.section("caller");
     let caller = Caller {
-        body_limit: bytes(section.integer("body_limit", Some(1 << 20), 1024..=1 << 26)),
-        buffer: bytes(section.integer("buffer", Some(1024), 16..=1 << 20)),
+        body_limit: to_usize(section.integer("body_limit", Some(1 << 20), 1024..=1 << 26)),
+        buffer: to_usize(section.integer("buffer", Some(1024), 16..=1 << 20)),
         handle_secret: secret(&section),
         listen: section.address("listen", None),
         tls: tls(&section),
     };
-    section.close();
+    section.finish();
     caller
 }
 
-fn fellow(root: &Section) -> Option<Fellow> {
+fn peer(root: &Section) -> Option<Peer> {
     let section = root.section("fellow");
-    if !section.present() {
+    if !section.is_present() {
         return None;
     }
-    let fellow = Fellow {
+    let peer = Peer {
         authority: section.string("authority", None),
         listen: section.address("listen", None),
         tls: Tls {
@@ -139,8 +140,8 @@
             key: section.string("key", None),
         },
     };
-    section.close();
-    Some(fellow)
+    section.finish();
+    Some(peer)
 }
 
 fn limits(root: &Section) -> Limits {
@@ -148,65 +149,72 @@
     let default = Limits::default();
     let ms = Duration::from_millis;
     let limits = Limits {
-        append_interval: section.span(
+        append_interval: section.duration(
             "append_interval",
             default.append_interval,
             ms(1)..=ms(5_000),
         ),
-        claim_wait: section.span("claim_wait", default.claim_wait, ms(100)..=ms(600_000)),
-        deadline: section.span("deadline", default.deadline, ms(100)..=ms(86_400_000)),
-        gossip_interval: section.span(
+        claim_wait: section.duration("claim_wait", default.claim_wait, ms(100)..=ms(600_000)),
+        deadline: section.duration("deadline", default.deadline, ms(100)..=ms(86_400_000)),
+        gossip_interval: section.duration(
             "gossip_interval",
             default.gossip_interval,
             ms(10)..=ms(60_000),
         ),
-        grace: section.span("grace", default.grace, ms(0)..=ms(600_000)),
-        order_window: section.span(
+        grace: section.duration("grace", default.grace, ms(0)..=ms(600_000)),
+        order_window: section.duration(
             "order_window",
             default.order_window,
             ms(1_000)..=ms(604_800_000),
         ),
-        poll_interval: section.span("poll_interval", default.poll_interval, ms(10)..=ms(60_000)),
-        queue: bytes(section.integer("queue", Some(1024), 0..=65_536)),
-        retry_percent: section.small("retry_percent", Some(default.retry_percent), 0..=100),
-        silence: section.span("silence", default.silence, ms(50)..=ms(600_000)),
-        skew: section.span("skew", default.skew, ms(0)..=ms(3_600_000)),
-        snapshot_interval: section.span(
+        poll_interval: section.duration(
+            "poll_interval",
+            default.poll_interval,
+            ms(10)..=ms(60_000),
+        ),
+        queue: to_usize(section.integer("queue", Some(1024), 0..=65_536)),
+        retry_percent: section.integer_u32("retry_percent", Some(default.retry_percent), 0..=100),
+        silence: section.duration("silence", default.silence, ms(50)..=ms(600_000)),
+        skew: section.duration("skew", default.skew, ms(0)..=ms(3_600_000)),
+        snapshot_interval: section.duration(
             "snapshot_interval",
             default.snapshot_interval,
             ms(1_000)..=ms(604_800_000),
         ),
-        staleness: section.span("staleness", default.staleness, ms(1_000)..=ms(600_000)),
+        staleness: section.duration("staleness", default.staleness, ms(1_000)..=ms(600_000)),
     };
-    section.close();
+    section.finish();
     limits
 }
 
 fn operator(root: &Section) -> Operator {
     let section = root.section("operator");
-    let (least, most) = (Duration::ZERO, Duration::from_mins(10));
+    let (min, max) = (Duration::ZERO, Duration::from_mins(10));
     let operator = Operator {
-        drain_notice: section.span("drain_notice", Duration::from_secs(3), least..=most),
+        drain_notice: section.duration("drain_notice", Duration::from_secs(3), min..=max),
         listen: section.address("listen", Some("127.0.0.1:0")),
     };
-    section.close();
+    section.finish();
     operator
 }
 
 fn platform(root: &Section) -> Platform {
     let section = root.section("platform");
-    let (least, most) = (Duration::from_millis(10), Duration::from_mins(1));
+    let (min, max) = (Duration::from_millis(10), Duration::from_mins(1));
     let platform = Platform {
         list: section.address("list", None),
-        list_interval: section.span("list_interval", Duration::from_millis(500), least..=most),
+        list_interval: section.duration("list_interval", Duration::from_millis(500), min..=max),
         log: section.address("log", None),
     };
-    section.close();
+    section.finish();
     platform
 }
 
 fn tls(section: &Section) -> Option<Tls> {
-    match (section.optional("certificate"), section.optional("key")) {
+    match (
+        section.optional_string("certificate"),
+        section.optional_string("key"),
+    ) {
         (Some(certificate), Some(key)) => Some(Tls { certificate, key }),
         (None, None) => None,
         (Some(_), None) => {
@@ -233,7 +241,7 @@
     if text.is_empty() {
         return [0; 32];
     }
-    if let Some(secret) = hex(&text) {
+    if let Some(secret) = decode_hex(&text) {
         return secret;
     }
     section.fault(
@@ -244,12 +252,12 @@
     [0; 32]
 }
 
-/// Reads 32 bytes from 64 hexadecimal digits.
+/// Decodes 32 bytes from 64 hexadecimal digits.
 #[must_use]
-pub fn hex(text: &str) -> Option<[u8; 32]> {
+pub fn decode_hex(text: &str) -> Option<[u8; 32]> {
     blake3::Hash::from_hex(text).ok().map(Into::into)
 }
 
-fn bytes(number: u64) -> usize {
+fn to_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,12 +1,12 @@
-//! Settings and records as operators write them.
+//! Parsing of settings and record files.
 
 use {
-    operator::{Fault, Settings, record, span},
+    operator::{Fault, Settings, duration, record},
     proptest::{prelude::*, test_runner::RngSeed},
     std::time::Duration,
 };
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(1),
@@ -24,10 +24,9 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// An operator makes several mistakes in one file. Told of the first only, they
-/// would need as many tries as there are mistakes; all are named at once.
+/// All faults of a file are reported at once, not only the first.
 #[test]
-fn every_fault_of_a_settings_file_is_named() {
+fn every_fault_in_a_settings_file_is_reported() {
     let text = "[instance]\nname = \"entry one\"\n\n[caller]\nlisten = \"localhost:80\"\n\
                 body_limit = 12\nhandle_secret = \"short\"\nkey = \"k.pem\"\n\n[platform]\n\
                 log = \"10.0.0.5:9000\"\nlist = 7\n\n[limits]\nstaleness = \"200ms\"\nqueu = 3\n";
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn every_fault_of_a_record_is_named() {
+fn every_fault_in_a_record_is_reported() {
     let text = "schema = 1\n[customer.regie]\nkey_hashes = [\"12\"]\npriority = 300\n\
                 [domain.sor]\nstate = \"away\"\n[route.survey]\nversions = []\n[servise.kiln]\n";
     let faults = record::parse("record.toml", text).expect_err("the file has faults");
@@ -59,20 +58,20 @@
     "#);
 }
 
-/// A record of a newer version reaches an older one. Its content is not looked
-/// into, so that old and new versions run side by side during a change.
+/// During an upgrade, old instances receive records of a newer schema, whose content they must
+/// ignore.
 #[test]
-fn a_newer_schema_is_kept() {
+fn content_of_a_newer_schema_is_ignored() {
     let record = record::parse("record.toml", "schema = 2\n[novelty.x]\n").expect("no fault");
     assert_eq!((record.schema, record.changes.len()), (2, 0));
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
-    /// Any text at all may be published by mistake; every instance reads it.
+    /// Any text can be published by mistake, and every instance parses it.
     #[test]
-    fn rubbish_does_no_harm(text in "\\PC{0,200}", lines in "([a-z]{1,9} ?= ?[\"0-9a-z\\[\\]{}.]{0,9}\n|\\[[a-z.]{0,12}\\]\n){0,12}") {
+    fn arbitrary_text_does_not_panic(text in "\\PC{0,200}", lines in "([a-z]{1,9} ?= ?[\"0-9a-z\\[\\]{}.]{0,9}\n|\\[[a-z.]{0,12}\\]\n){0,12}") {
         prop_assert!(Settings::parse("f", &text).is_err());
         let _ = record::parse("f", &text);
         let _ = Settings::parse("f", &lines);
@@ -80,8 +79,8 @@
     }
 
     #[test]
-    fn a_length_of_time_comes_back(millis in 0..10_000_000_000_u64) {
+    fn rendered_duration_parses_to_the_same_value(millis in 0..10_000_000_000_u64) {
         let duration = Duration::from_millis(millis);
-        prop_assert_eq!(span::parse(&span::render(duration)), Some(duration));
+        prop_assert_eq!(duration::parse(&duration::render(duration)), Some(duration));
     }
 }
