--- a/crates/carawayhead/src/clock.rs
+++ b/crates/carawayhead/src/clock.rs
@@ -1,15 +1,15 @@
-//! The one place where clocks are read.
+//! Access to the system clocks.
 
 use crate::prelude::*;
 
-/// Monotonic time since the process started, and wall time for labels.
+/// Monotonic time since the clock was created, and wall time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts at zero.
+    /// Creates a clock whose monotonic time starts at zero.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -17,20 +17,20 @@
         }
     }
 
-    /// The present.
+    /// Returns the current monotonic time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
-    /// A point in time as decisions know it.
+    /// Converts an `Instant` to the time type of `decision`.
     #[must_use]
     pub fn at(&self, instant: Instant) -> Time {
         let since = instant.saturating_duration_since(self.start);
         Time::from_micros(u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Wall time.
+    /// Returns the current wall time, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn wall(&self) -> Wall {
         let since = SystemTime::now()
--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -3,7 +3,7 @@
 use {
     super::{publish, serve},
     crate::{
-        daemon::{self, Running, timeline::Moment},
+        daemon::{self, Running, timeline::TimelineEntry},
         prelude::*,
     },
     endpoint::{client::Reply, sse::Parser},
@@ -245,7 +245,7 @@
         let kept = demo
             .get(&instance.operator.to_string(), "/timeline")
             .await?;
-        moments.extend(serde_json::from_value::<Vec<Moment>>(kept).unwrap_or_default());
+        moments.extend(serde_json::from_value::<Vec<TimelineEntry>>(kept).unwrap_or_default());
     }
     moments.sort();
     seen(!moments.is_empty(), "the time line is empty")?;
--- a/crates/carawayhead/src/command/publish.rs
+++ b/crates/carawayhead/src/command/publish.rs
@@ -4,7 +4,7 @@
     super::check::text,
     crate::{
         daemon::{
-            instance::{CONFIG, SNAPSHOTS},
+            instance::{CONFIG_STREAM, SNAPSHOTS_STREAM},
             tail,
         },
         prelude::*,
@@ -28,7 +28,7 @@
     Stream {
         address: address.to_string(),
         client: Client::new(Duration::from_secs(1)),
-        name: CONFIG,
+        name: CONFIG_STREAM,
     }
 }
 
@@ -137,10 +137,10 @@
         let part = stream.read(next, Duration::ZERO).await?;
         if part.first > next {
             let snapshots = Stream {
-                name: SNAPSHOTS,
+                name: SNAPSHOTS_STREAM,
                 ..stream.clone()
             };
-            let snapshot = tail::newest(&snapshots).await;
+            let snapshot = tail::newest_snapshot(&snapshots).await;
             let Some(snapshot) = snapshot.filter(|snapshot| snapshot.next >= part.first) else {
                 return Err(Error::Missing(
                     "records have aged out and no snapshot has them".to_string(),
@@ -167,10 +167,10 @@
         Applied::Beaten {
             item,
             winner: Some(winner),
-        } => Err(Error::Beaten(format!(
+        } => Err(Error::Conflict(format!(
             "{item}: beaten by the record at offset {winner}, which changed it first; nothing of this record is in force"
         ))),
-        Applied::Beaten { item, winner: None } => Err(Error::Beaten(format!(
+        Applied::Beaten { item, winner: None } => Err(Error::Conflict(format!(
             "{item}: 'replaces' names a version, but the item does not exist; nothing of this record is in force"
         ))),
         Applied::InForce | Applied::Old | Applied::Unknown => Ok(()),
--- a/crates/carawayhead/src/command/secrets.rs
+++ b/crates/carawayhead/src/command/secrets.rs
@@ -64,7 +64,7 @@
 }
 
 fn certificate_fault(name: &str, error: &rcgen::Error) -> Error {
-    Error::Fellow(fellow::Error::Certificate(
+    Error::Peer(fellow::Error::Certificate(
         name.to_string(),
         error.to_string(),
     ))
--- a/crates/carawayhead/src/command/serve.rs
+++ b/crates/carawayhead/src/command/serve.rs
@@ -21,7 +21,7 @@
     let mut terminate = watch(SignalKind::terminate())?;
     let mut interrupt = watch(SignalKind::interrupt())?;
     let running = daemon::start(settings).await?;
-    let fellow = running.fellow.map(|address| format!(" fellow={address}"));
+    let fellow = running.peer.map(|address| format!(" fellow={address}"));
     println!(
         "listening caller={} operator={}{}",
         running.caller,
--- a/crates/carawayhead/src/daemon/exchange.rs
+++ b/crates/carawayhead/src/daemon/exchange.rs
@@ -1,22 +1,22 @@
-//! What the loop keeps beside the state of a request: its way back and its body.
+//! I/O data that the event loop keeps per request: the body and the response channel.
 
 use crate::prelude::*;
 
-/// One request in progress, as the adapters know it.
+/// The I/O side of a request in progress.
 #[derive(Debug)]
 pub struct Exchange {
-    /// What is to be sent.
+    /// The request as received from the caller.
     pub ask: Ask,
-    /// Request id of the log lines.
+    /// Request id for log lines.
     pub id: Uuid,
-    /// Where pieces of the answer go.
+    /// Channel for the pieces of the answer.
     pub outlet: Sender<Piece>,
-    /// The connection to the endpoint that serves it now.
+    /// Task of the current connection to an endpoint.
     task: Option<AbortHandle>,
 }
 
 impl Exchange {
-    /// An exchange that has not been sent.
+    /// Creates an exchange that is not connected to an endpoint.
     #[must_use]
     pub const fn new(ask: Ask, id: Uuid, outlet: Sender<Piece>) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Puts a new connection in place of the one before.
+    /// Replaces the connection to the endpoint.
     pub fn attach(&mut self, task: AbortHandle) {
         self.detach();
         self.task = Some(task);
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -1,13 +1,13 @@
-//! The loop that owns the state of one instance.
+//! The event loop that owns the state of an instance.
 
 use {
     super::{
         exchange::Exchange,
-        metrics::Shared,
-        operator_side,
-        snapshot::Snapshot,
+        metrics::SharedStatus,
+        operator_listener,
+        status::Status,
         tail,
-        timeline::{Moment, Timeline},
+        timeline::{Timeline, TimelineEntry},
     },
     crate::prelude::*,
     caller::{
@@ -20,50 +20,51 @@
     tokio::{sync::oneshot, time::MissedTickBehavior},
 };
 
-/// How often the state is told that time passed.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval of the tick event.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Events and requests that may wait for the loop.
-const QUEUE: usize = 4096;
+/// Capacity of each channel into the event loop.
+const CHANNEL_CAPACITY: usize = 4096;
 
-/// Events taken in one turn before time and other inputs are looked at again.
-const MOST_EVENTS: usize = 256;
+/// Maximum number of events handled per iteration before the clock and the other inputs are
+/// checked again.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
 
-/// How long a stopping instance waits for its last bytes and log entries.
-const FLUSH: Duration = Duration::from_secs(15);
+/// How long a draining instance waits for open connections and for pending log entries.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a connection to an endpoint or the platform may take to open.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection to an endpoint or the platform.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Stream that operators publish the configuration on.
-pub const CONFIG: &str = "config";
+/// Name of the stream of configuration records.
+pub const CONFIG_STREAM: &str = "config";
 
-/// Stream of the claims on order keys.
-pub const CLAIMS: &str = "claims";
+/// Name of the stream of claims on order keys.
+pub const CLAIMS_STREAM: &str = "claims";
 
-/// Stream of the snapshots of the configuration.
-pub const SNAPSHOTS: &str = "snapshots";
+/// Name of the stream of configuration snapshots.
+pub const SNAPSHOTS_STREAM: &str = "snapshots";
 
-/// An instance that runs.
+/// A running instance.
 #[derive(Debug)]
 pub struct Running {
-    /// Where callers are listened for.
+    /// Address of the listener for callers.
     pub caller: SocketAddr,
-    /// Where fellow instances are listened for, if they are.
-    pub fellow: Option<SocketAddr>,
-    /// Where operators are listened for.
+    /// Address of the listener for peer instances, if enabled.
+    pub peer: Option<SocketAddr>,
+    /// Address of the listener for operators.
     pub operator: SocketAddr,
-    /// Tells it to leave without cutting a request.
+    /// Starts draining: the instance stops once all requests have ended.
     pub drain: oneshot::Sender<()>,
-    /// Ends when the instance has.
+    /// Completes when the instance has stopped.
     pub task: tokio::task::JoinHandle<()>,
 }
 
-/// The loop and everything it owns.
+/// The event loop and everything it owns.
 #[derive(Debug)]
 pub struct Instance {
     pub(super) actions: Vec<Action>,
-    asked: Receiver<Asked>,
+    peer_requests: Receiver<Asked>,
     pub(super) claims: Stream,
     pub(super) snapshots: Stream,
     pub(super) client: Client,
@@ -74,9 +75,9 @@
     inbox: Receiver<Event>,
     inbound: Receiver<Inbound>,
     pub(super) link: Option<Link>,
-    longest_turn: Duration,
+    longest_iteration: Duration,
     ready: Arc<AtomicBool>,
-    shared: Shared,
+    shared: SharedStatus,
     pub(super) state: State,
     pub(super) timeline: Arc<Mutex<Timeline>>,
 }
@@ -85,14 +86,14 @@
 ///
 /// # Errors
 ///
-/// An address cannot be bound, or a certificate cannot be read.
+/// Returns an error if an address cannot be bound or a certificate cannot be read.
 pub async fn start(settings: Settings) -> Result<Running, Error> {
-    let (events, inbox) = mpsc::channel(QUEUE);
-    let (sender, inbound) = mpsc::channel(QUEUE);
+    let (events, inbox) = mpsc::channel(CHANNEL_CAPACITY);
+    let (sender, inbound) = mpsc::channel(CHANNEL_CAPACITY);
     let clock = Clock::new();
-    let client = Client::new(CONNECT);
+    let client = Client::new(CONNECT_TIMEOUT);
     let ready = Arc::new(AtomicBool::new(false));
-    let shared = Shared::default();
+    let shared = SharedStatus::default();
     let gate = Gate {
         body_limit: settings.caller.body_limit,
         buffer: settings.caller.buffer,
@@ -104,22 +105,22 @@
         .await
         .map_err(|error| Error::Listen(settings.caller.listen.clone(), error.to_string()))?;
     let timeline = Arc::new(Mutex::new(Timeline::default()));
-    let operator = operator_side::listen(
+    let operator = operator_listener::listen(
         Arc::clone(&shared),
         Arc::clone(&timeline),
         &settings.operator.listen,
     )
     .await?;
-    let (questions, asked) = mpsc::channel(QUEUE);
-    let link = link(&settings, questions)?;
-    let fellow = link.as_ref().map(Link::address).transpose()?;
-    follow(&settings, &client, clock, &events);
+    let (peer_sender, peer_requests) = mpsc::channel(CHANNEL_CAPACITY);
+    let link = link(&settings, peer_sender)?;
+    let peer = link.as_ref().map(Link::address).transpose()?;
+    start_followers(&settings, &client, clock, &events);
     let seed = rand::random();
     let instance = Instance {
         actions: Vec::new(),
-        asked,
-        claims: stream(&settings, &client, CLAIMS),
-        snapshots: stream(&settings, &client, SNAPSHOTS),
+        peer_requests,
+        claims: stream(&settings, &client, CLAIMS_STREAM),
+        snapshots: stream(&settings, &client, SNAPSHOTS_STREAM),
         client,
         clock,
         drain_notice: settings.operator.drain_notice,
@@ -128,7 +129,7 @@
         inbound,
         inbox,
         link,
-        longest_turn: Duration::ZERO,
+        longest_iteration: Duration::ZERO,
         ready,
         shared,
         state: State::new(
@@ -139,19 +140,19 @@
         ),
         timeline,
     };
-    let (drain, drained) = oneshot::channel();
+    let (drain, drain_request) = oneshot::channel();
     let caller = listener.address;
-    let task = tokio::spawn(instance.run(listener, drained));
+    let task = tokio::spawn(instance.run(listener, drain_request));
     Ok(Running {
         caller,
-        fellow,
+        peer,
         operator,
         drain,
         task,
     })
 }
 
-/// A stream of the log.
+/// Returns the stream `name` of the log.
 #[must_use]
 pub fn stream(settings: &Settings, client: &Client, name: &'static str) -> Stream {
     Stream {
@@ -161,11 +162,11 @@
     }
 }
 
-fn follow(settings: &Settings, client: &Client, clock: Clock, events: &Sender<Event>) {
-    let config = stream(settings, client, CONFIG);
-    let claims = stream(settings, client, CLAIMS);
+fn start_followers(settings: &Settings, client: &Client, clock: Clock, events: &Sender<Event>) {
+    let config = stream(settings, client, CONFIG_STREAM);
+    let claims = stream(settings, client, CLAIMS_STREAM);
     let platform = &settings.platform;
-    let snapshots = stream(settings, client, SNAPSHOTS);
+    let snapshots = stream(settings, client, SNAPSHOTS_STREAM);
     tokio::spawn(tail::config(
         config,
         snapshots.clone(),
@@ -182,20 +183,20 @@
     ));
 }
 
-fn link(settings: &Settings, questions: Sender<Asked>) -> Result<Option<Link>, Error> {
-    let Some(side) = &settings.peer else {
+fn link(settings: &Settings, requests: Sender<Asked>) -> Result<Option<Link>, Error> {
+    let Some(peer) = &settings.peer else {
         return Ok(None);
     };
     let configs = fellow::tls::configs(&fellow::tls::Files {
-        authority: side.authority.clone(),
-        certificate: side.tls.certificate.clone(),
-        key: side.tls.key.clone(),
+        authority: peer.authority.clone(),
+        certificate: peer.tls.certificate.clone(),
+        key: peer.tls.key.clone(),
     })?;
-    let listen = side
+    let listen = peer
         .listen
         .parse()
-        .map_err(|_checked| Error::Listen(side.listen.clone(), "not an address".to_string()))?;
-    Ok(Some(Link::listen(listen, configs, questions)?))
+        .map_err(|_error| Error::Listen(peer.listen.clone(), "not an address".to_string()))?;
+    Ok(Some(Link::listen(listen, configs, requests)?))
 }
 
 fn pem(settings: &Settings) -> Result<Option<Pem>, Error> {
@@ -213,73 +214,74 @@
 }
 
 impl Instance {
-    /// Runs until drained.
-    async fn run(mut self, listener: server::Running, drained: oneshot::Receiver<()>) {
-        let mut tick = tokio::time::interval(TICK);
+    /// Runs the event loop until draining is complete.
+    async fn run(mut self, listener: server::Running, drain_request: oneshot::Receiver<()>) {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        let mut drained = Some(drained);
-        let mut leaving = None;
-        let mut idle = None;
+        let mut drain_request = Some(drain_request);
+        let mut drain_start = None;
+        let mut idle_since = None;
         loop {
             tokio::select! {
-                Some(event) = self.inbox.recv() => self.events(event),
-                Some(inbound) = self.inbound.recv() => self.arrive(inbound),
-                Some(asked) = self.asked.recv() => self.answer(asked),
+                Some(event) = self.inbox.recv() => self.handle_events(event),
+                Some(inbound) = self.inbound.recv() => self.handle_request(inbound),
+                Some(asked) = self.peer_requests.recv() => self.answer_peer(asked),
                 _ = tick.tick() => self.tick(),
-                () = wait(&mut drained) => {
-                    drained = None;
-                    leaving = Some(Instant::now());
+                () = drain_requested(&mut drain_request) => {
+                    drain_request = None;
+                    drain_start = Some(Instant::now());
                     self.state.draining = true;
-                    self.note(Moment { what: "leaving".to_string(), ..Moment::default() });
+                    self.record(TimelineEntry { what: "leaving".to_string(), ..TimelineEntry::default() });
                 }
             }
-            let Some(since) = leaving else {
+            let Some(since) = drain_start else {
                 continue;
             };
             if since.elapsed() >= self.drain_notice && !listener.task.is_finished() {
                 listener.handle.stop_graceful(None);
             }
-            if !self.left(since) {
-                idle = None;
+            if !self.is_drained(since) {
+                idle_since = None;
                 continue;
             }
-            // The listener may hold the last bytes of an answer, or a request whose body
-            // is still coming: the loop goes on for it until its connections are closed.
-            let waited = idle.get_or_insert_with(Instant::now).elapsed();
+            // The listener may still be writing the end of an answer or receiving the body of a
+            // request, so the loop runs until all its connections are closed.
+            let idle = idle_since.get_or_insert_with(Instant::now).elapsed();
             if listener.task.is_finished() {
                 break;
             }
-            if waited >= FLUSH {
-                log::warn!("connections were still open at the end");
+            if idle >= FLUSH_TIMEOUT {
+                log::warn!("flush timeout expired: stopping with open connections");
                 break;
             }
         }
-        log::info!(instance = self.state.name; "left");
+        log::info!(instance = self.state.name; "stopped");
     }
 
-    /// Whether nothing is in progress any more.
-    fn left(&self, since: Instant) -> bool {
-        let served = self.exchanges.is_empty() && self.inbound.is_empty();
-        let noticed = since.elapsed() >= self.drain_notice;
-        // With the log out the last entries cannot be appended; waiting for it without
-        // a bound would keep the instance for as long as the outage lasts.
-        let told = self.state.batch.is_empty() || since.elapsed() >= self.drain_notice + FLUSH;
-        served && noticed && told
+    /// Whether the drain notice has passed and no request or log entry is pending.
+    fn is_drained(&self, since: Instant) -> bool {
+        let idle = self.exchanges.is_empty() && self.inbound.is_empty();
+        let notice_passed = since.elapsed() >= self.drain_notice;
+        // While the log is unavailable, pending entries cannot be appended. The timeout keeps
+        // an outage of the log from blocking the shutdown.
+        let flushed =
+            self.state.batch.is_empty() || since.elapsed() >= self.drain_notice + FLUSH_TIMEOUT;
+        idle && notice_passed && flushed
     }
 
-    /// Takes in what waits, at one time for all of it: reading clocks for each token
-    /// cost more than deciding about it.
-    fn events(&mut self, first: Event) {
+    /// Handles the queued events with a single clock reading, as reading the clocks for every
+    /// token is more expensive than handling it.
+    fn handle_events(&mut self, first: Event) {
         let begun = Instant::now();
         let (now, wall) = (self.clock.at(begun), self.clock.wall());
         self.step_at(now, wall, first);
-        for _ in 1..MOST_EVENTS {
+        for _ in 1..MAX_EVENTS_PER_ITERATION {
             let Ok(event) = self.inbox.try_recv() else {
                 break;
             };
             self.step_at(now, wall, event);
         }
-        self.longest_turn = self.longest_turn.max(begun.elapsed());
+        self.longest_iteration = self.longest_iteration.max(begun.elapsed());
     }
 
     pub(super) fn step(&mut self, event: Event) {
@@ -291,13 +293,13 @@
         let next = self.state.config.next();
         self.state.step(now, wall, event, &mut self.actions);
         if self.state.config.next() != next {
-            self.note(Moment {
+            self.record(TimelineEntry {
                 what: "configured".to_string(),
                 detail: format!("up to offset {}", self.state.config.next() - 1),
-                ..Moment::default()
+                ..TimelineEntry::default()
             });
         }
-        self.perform();
+        self.perform_actions();
     }
 
     fn tick(&mut self) {
@@ -313,13 +315,14 @@
         self.step(Event::Tick);
         let ready = self.state.ready() && !self.state.draining;
         self.ready.store(ready, Ordering::Relaxed);
-        let turn = u64::try_from(self.longest_turn.as_micros()).unwrap_or(u64::MAX);
-        let snapshot = Snapshot::of(&self.state, self.clock.now(), ready, turn);
-        *self.shared.lock().expect("the snapshot is never poisoned") = snapshot;
-        self.longest_turn = begun.elapsed();
+        let longest_iteration =
+            u64::try_from(self.longest_iteration.as_micros()).unwrap_or(u64::MAX);
+        let status = Status::of(&self.state, self.clock.now(), ready, longest_iteration);
+        *self.shared.lock().expect("the status lock is not poisoned") = status;
+        self.longest_iteration = begun.elapsed();
     }
 
-    fn arrive(&mut self, inbound: Inbound) {
+    fn handle_request(&mut self, inbound: Inbound) {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let wait = inbound
             .wait
@@ -330,38 +333,38 @@
             deadline: now.after(wait),
             work: self.work(&inbound.ask),
         };
-        self.note(Moment {
+        self.record(TimelineEntry {
             what: "arrived".to_string(),
             request: inbound.id.to_string(),
             detail: describe(&arrival.work),
-            ..Moment::default()
+            ..TimelineEntry::default()
         });
         let key = self.state.arrive(now, wall, arrival, &mut self.actions);
         self.exchanges
             .insert(key, Exchange::new(inbound.ask, inbound.id, inbound.outlet));
-        self.perform();
+        self.perform_actions();
         self.state.flush(now, &mut self.actions);
-        self.perform();
+        self.perform_actions();
     }
 
-    /// Notes a moment for the time line, and as a log line.
-    pub(super) fn note(&mut self, moment: Moment) {
-        let moment = Moment {
+    /// Records an entry in the time line and logs it.
+    pub(super) fn record(&mut self, entry: TimelineEntry) {
+        let entry = TimelineEntry {
             instance: self.state.name.clone(),
-            ..moment
+            ..entry
         };
         log::info!(
-            request = moment.request,
-            endpoint = moment.endpoint,
-            domain = moment.domain,
-            detail = moment.detail;
-            "{}", moment.what
+            request = entry.request,
+            endpoint = entry.endpoint,
+            domain = entry.domain,
+            detail = entry.detail;
+            "{}", entry.what
         );
         let wall = self.clock.wall();
-        lock(&self.timeline).note(wall, moment);
+        lock(&self.timeline).record(wall, entry);
     }
 
-    /// What this instance tells its fellows.
+    /// Returns the message that this instance sends to its peers.
     pub(super) fn hello(&self) -> Hello {
         let known = self.state.known(self.clock.now());
         let age = known.age.map(|age| age.as_millis());
@@ -373,8 +376,8 @@
         }
     }
 
-    /// Answers a fellow instance with the records it lacks.
-    fn answer(&self, asked: Asked) {
+    /// Answers a peer instance with the records that it lacks.
+    fn answer_peer(&self, asked: Asked) {
         lock(&self.timeline).receive(self.clock.wall(), asked.hello.stamp);
         let next = asked.hello.next;
         let lines = self.state.history.after(next).into_iter();
@@ -391,7 +394,7 @@
                 .collect(),
         };
         if asked.reply.send(answer).is_err() {
-            log::debug!(fellow = asked.hello.name; "the fellow instance did not wait");
+            log::debug!(fellow = asked.hello.name; "peer instance disconnected before it was answered");
         }
     }
 
@@ -402,7 +405,7 @@
                 payload,
                 service,
             } => Work::Call {
-                idempotent: self.idempotent(service, payload),
+                idempotent: self.is_idempotent(service, payload),
                 order: *order,
                 service: service.clone(),
             },
@@ -428,8 +431,8 @@
         }
     }
 
-    /// Idempotent by its method (RFC 9110), or by what the service's record says.
-    fn idempotent(&self, service: &str, payload: &Payload) -> bool {
+    /// Whether the call is idempotent by its method (RFC 9110) or by the record of the service.
+    fn is_idempotent(&self, service: &str, payload: &Payload) -> bool {
         if payload.method.is_idempotent() {
             return true;
         }
@@ -443,12 +446,12 @@
     }
 }
 
-/// The time line, for a short while.
+/// Locks the time line.
 pub(super) fn lock(timeline: &Mutex<Timeline>) -> std::sync::MutexGuard<'_, Timeline> {
-    timeline.lock().expect("the time line is never poisoned")
+    timeline.lock().expect("the time line lock is not poisoned")
 }
 
-/// What is asked for, in a few words.
+/// Returns a short description of the work, for the time line.
 fn describe(work: &Work) -> String {
     match work {
         Work::Call {
@@ -466,12 +469,12 @@
     }
 }
 
-/// Waits for the word to leave; after it came, for ever.
-async fn wait(drained: &mut Option<oneshot::Receiver<()>>) {
-    match drained {
+/// Completes when draining is requested. Never completes once `drain_request` is `None`.
+async fn drain_requested(drain_request: &mut Option<oneshot::Receiver<()>>) {
+    match drain_request {
         Some(receiver) => {
             if receiver.await.is_err() {
-                // The owner of the sender is gone without having asked to leave.
+                // The sender was dropped without a request to drain.
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/carawayhead/src/daemon/metrics.rs
+++ b/crates/carawayhead/src/daemon/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics by OpenTelemetry, in Prometheus text.
+//! OpenTelemetry metrics, exported in the Prometheus text format.
 
 use {
-    super::snapshot::Snapshot,
+    super::status::Status,
     crate::prelude::*,
     decision::invariant::Rule,
     opentelemetry::{
@@ -12,10 +12,10 @@
     prometheus::{Encoder, Registry, TextEncoder},
 };
 
-/// The figures that the loop shares.
-pub type Shared = Arc<Mutex<Snapshot>>;
+/// Status shared between the event loop and the listener for operators.
+pub type SharedStatus = Arc<Mutex<Status>>;
 
-/// Everything that is exported.
+/// The registered metrics.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -23,12 +23,12 @@
 }
 
 impl Metrics {
-    /// Registers all metrics; they read `shared` when they are asked for.
+    /// Registers all metrics, which read `shared` on every scrape.
     ///
     /// # Errors
     ///
-    /// The exporter could not be set up.
-    pub fn new(shared: &Shared) -> Result<Self, Error> {
+    /// Returns an error if the exporter cannot be set up.
+    pub fn new(shared: &SharedStatus) -> Result<Self, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -45,24 +45,24 @@
         })
     }
 
-    /// Prometheus text.
+    /// Renders the metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!(error:%; "metrics cannot be written");
+            log::warn!(error:%; "metrics could not be encoded");
         }
         String::from_utf8_lossy(&text).into_owned()
     }
 }
 
-fn gauges(meter: &Meter, shared: &Shared) {
-    let gauge = |name: &'static str, help: &'static str, read: fn(&Snapshot) -> u64| {
+fn gauges(meter: &Meter, shared: &SharedStatus) {
+    let gauge = |name: &'static str, help: &'static str, read: fn(&Status) -> u64| {
         let shared = Arc::clone(shared);
         meter
             .u64_observable_gauge(name)
             .with_description(help)
-            .with_callback(move |observer| observer.observe(read(&look(&shared)), &[]))
+            .with_callback(move |observer| observer.observe(read(&read_status(&shared)), &[]))
             .build();
     };
     gauge("backlog", "requests that wait for an endpoint", |s| {
@@ -110,13 +110,13 @@
     gauge("requests", "requests in progress", |s| s.requests as u64);
 }
 
-fn counters(meter: &Meter, shared: &Shared) {
-    let counter = |name: &'static str, help: &'static str, read: fn(&Snapshot) -> u64| {
+fn counters(meter: &Meter, shared: &SharedStatus) {
+    let counter = |name: &'static str, help: &'static str, read: fn(&Status) -> u64| {
         let shared = Arc::clone(shared);
         meter
             .u64_observable_counter(name)
             .with_description(help)
-            .with_callback(move |observer| observer.observe(read(&look(&shared)), &[]))
+            .with_callback(move |observer| observer.observe(read(&read_status(&shared)), &[]))
             .build();
     };
     counter("answered", "requests answered whole", |s| s.stats.answered);
@@ -145,29 +145,29 @@
     counter("tokens", "tokens delivered", |s| s.stats.tokens);
 }
 
-fn violations(meter: &Meter, shared: &Shared) {
+fn violations(meter: &Meter, shared: &SharedStatus) {
     let shared = Arc::clone(shared);
     meter
         .u64_observable_counter("invariant_violations")
         .with_description("invariants found broken; any is a bug")
         .with_callback(move |observer| {
-            let snapshot = look(&shared);
-            for (rule, count) in Rule::ALL.iter().zip(snapshot.violations) {
+            let status = read_status(&shared);
+            for (rule, count) in Rule::ALL.iter().zip(status.violations) {
                 observer.observe(count, &[KeyValue::new("rule", rule.label())]);
             }
         })
         .build();
 }
 
-/// A copy of the figures.
+/// Returns a copy of the status.
 ///
 /// # Panics
 ///
-/// The loop panicked while it wrote them.
+/// Panics if the event loop panicked while it updated the status.
 #[must_use]
-pub fn look(shared: &Shared) -> Snapshot {
+pub fn read_status(shared: &SharedStatus) -> Status {
     shared
         .lock()
-        .expect("the snapshot is never poisoned")
+        .expect("the status lock is not poisoned")
         .clone()
 }
--- a/crates/carawayhead/src/daemon/mod.rs
+++ b/crates/carawayhead/src/daemon/mod.rs
@@ -1,11 +1,11 @@
-//! One entry instance: the loop that owns the state, and its adapters.
+//! An entry instance: the event loop that owns the state, and its I/O adapters.
 
 pub mod exchange;
 pub mod instance;
 pub mod metrics;
-pub mod operator_side;
+pub mod operator_listener;
 mod perform;
-pub mod snapshot;
+pub mod status;
 pub mod tail;
 pub mod timeline;
 
--- a/crates/carawayhead/src/daemon/operator_side.rs
+++ b/crates/carawayhead/src/daemon/operator_listener.rs
@@ -1,8 +1,8 @@
-//! The listener for operators: health, metrics and status.
+//! Listener for operators: health, metrics and status.
 
 use {
     super::{
-        metrics::{Metrics, Shared, look},
+        metrics::{Metrics, SharedStatus, read_status},
         timeline::Timeline,
     },
     crate::prelude::*,
@@ -15,31 +15,31 @@
     std::net::SocketAddr,
 };
 
-/// What its handlers need.
+/// State shared by the handlers.
 #[derive(Clone, Debug)]
-struct Side {
+struct HandlerState {
     metrics: Arc<Metrics>,
-    shared: Shared,
+    shared: SharedStatus,
     timeline: Arc<Mutex<Timeline>>,
 }
 
-/// Starts to listen for operators.
+/// Starts the listener and returns its address.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or the metrics cannot be set up.
+/// Returns an error if the address cannot be bound or the metrics cannot be set up.
 pub async fn listen(
-    shared: Shared,
+    shared: SharedStatus,
     timeline: Arc<Mutex<Timeline>>,
     listen: &str,
 ) -> Result<SocketAddr, Error> {
-    let side = Side {
+    let state = HandlerState {
         metrics: Arc::new(Metrics::new(&shared)?),
         shared,
         timeline,
     };
     let router = Router::new()
-        .hoop(salvo::affix_state::inject(side))
+        .hoop(salvo::affix_state::inject(state))
         .push(Router::with_path("healthz").get(healthz))
         .push(Router::with_path("metrics").get(metrics))
         .push(Router::with_path("readyz").get(readyz))
@@ -58,48 +58,49 @@
     Ok(address)
 }
 
-/// Answers as long as the process lives.
+/// Liveness check: answers 200 while the process runs.
 #[handler]
 async fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// Prometheus text.
+/// Returns the metrics in the Prometheus text format.
 #[handler]
 async fn metrics(depot: &mut Depot, response: &mut Response) {
-    if let Ok(side) = depot.get_typed::<Side>() {
-        response.body(side.metrics.text());
+    if let Ok(state) = depot.get_typed::<HandlerState>() {
+        response.body(state.metrics.text());
     }
 }
 
-/// Answers 200 while the balancer may send requests here.
+/// Readiness check: answers 200 while the load balancer may send requests to this instance,
+/// otherwise 503.
 #[handler]
 async fn readyz(depot: &mut Depot, response: &mut Response) {
     let ready = depot
-        .get_typed::<Side>()
-        .is_ok_and(|side| look(&side.shared).ready);
+        .get_typed::<HandlerState>()
+        .is_ok_and(|state| read_status(&state.shared).ready);
     if !ready {
         response.status_code(StatusCode::SERVICE_UNAVAILABLE);
     }
     response.body(if ready { "ready\n" } else { "not ready\n" });
 }
 
-/// The loop's figures as JSON.
+/// Returns the status of the event loop as JSON.
 #[handler]
 async fn status(depot: &mut Depot, response: &mut Response) {
-    if let Ok(side) = depot.get_typed::<Side>() {
-        response.body(look(&side.shared).json().to_string());
+    if let Ok(state) = depot.get_typed::<HandlerState>() {
+        response.body(read_status(&state.shared).json().to_string());
     }
 }
 
-/// The moments kept, as JSON.
+/// Returns the time line as JSON.
 #[handler]
 async fn get_timeline(depot: &mut Depot, response: &mut Response) {
-    if let Ok(side) = depot.get_typed::<Side>() {
-        let timeline = side
+    if let Ok(state) = depot.get_typed::<HandlerState>() {
+        let timeline = state
             .timeline
             .lock()
-            .expect("the time line is never poisoned");
-        response.body(json!(timeline.moments()).to_string());
+            .expect("the time line lock is not poisoned");
+        response.body(json!(timeline.entries()).to_string());
     }
 }
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -1,10 +1,10 @@
-//! What the loop does for each action of the state.
+//! Carries out the actions that the state requests.
 
 use {
     super::{
         instance::{Instance, lock},
         tail,
-        timeline::Moment,
+        timeline::TimelineEntry,
     },
     crate::prelude::*,
     decision::{
@@ -16,17 +16,17 @@
     streamlog::stream::{self, Stream},
 };
 
-/// How long an engine may take to report its load.
-const LOAD_WAIT: Duration = Duration::from_millis(800);
+/// Timeout of a load query to an engine.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Instance {
-    /// Carries out everything the state has asked for.
-    pub(super) fn perform(&mut self) {
-        let mut gone = Vec::new();
+    /// Carries out the pending actions.
+    pub(super) fn perform_actions(&mut self) {
+        let mut failed = Vec::new();
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Append(batch) => self.append(&batch),
+                Action::Append(batch) => self.append_claims(&batch),
                 Action::Cancel {
                     endpoint,
                     generation,
@@ -43,7 +43,7 @@
                         .get(key)
                         .map(|to| to.outlet.try_send(Piece::Token(index, data)));
                     if let Some(Err(error)) = sent {
-                        gone.push((key, error));
+                        failed.push((key, error));
                     }
                 }
                 Action::Detach(key) => {
@@ -59,7 +59,7 @@
                     endpoint,
                     next,
                 } => self.resume(attempt, endpoint, next),
-                Action::Snapshot(snapshot) => self.snapshot(snapshot),
+                Action::Snapshot(snapshot) => self.append_snapshot(snapshot),
                 Action::Send {
                     attempt,
                     endpoint,
@@ -68,24 +68,24 @@
                 } => self.send(attempt, endpoint, model.as_deref(), wait),
             }
         }
-        // The allocation is used again: one for each token would be felt.
+        // Reuses the allocation instead of allocating for every token.
         if self.actions.is_empty() {
             self.actions = actions;
         }
-        for (key, error) in gone {
-            self.drop_caller(key, &error);
+        for (key, error) in failed {
+            self.disconnect_caller(key, &error);
         }
     }
 
-    /// A caller left, or reads so slowly that the buffer is full.
+    /// Disconnects a caller that left, or whose buffer is full because it reads too slowly.
     ///
-    /// Its connection is closed after what is buffered; the generation is kept for
-    /// the grace time, and the caller may come back with `Last-Event-ID`. Waiting
-    /// instead would hold memory for as long as the caller likes.
-    fn drop_caller(&mut self, key: request::Key, error: &mpsc::error::TrySendError<Piece>) {
+    /// The connection is closed once the buffered pieces are sent. The generation is kept for
+    /// the grace time, so that the caller can resume it with `Last-Event-ID`. This bounds the
+    /// memory used for slow callers.
+    fn disconnect_caller(&mut self, key: request::Key, error: &mpsc::error::TrySendError<Piece>) {
         if let Some(exchange) = self.exchanges.get_mut(key) {
             if matches!(error, mpsc::error::TrySendError::Full(_)) {
-                log::warn!(request:% = exchange.id; "caller reads too slowly and is let go");
+                log::warn!(request:% = exchange.id; "disconnecting a caller that reads too slowly: response buffer full");
             }
             let (closed, _) = mpsc::channel(1);
             exchange.outlet = closed;
@@ -93,12 +93,12 @@
         self.step(Event::Gone(key));
     }
 
-    /// Appends a snapshot, part after part; one that breaks off is never whole.
-    fn snapshot(&mut self, snapshot: Snapshot) {
-        self.note(Moment {
+    /// Appends a snapshot in parts; readers ignore it unless all parts are present.
+    fn append_snapshot(&mut self, snapshot: Snapshot) {
+        self.record(TimelineEntry {
             what: "snapshot".to_string(),
             detail: format!("up to offset {}", snapshot.next.saturating_sub(1)),
-            ..Moment::default()
+            ..TimelineEntry::default()
         });
         let stream = self.snapshots.clone();
         tokio::spawn(async move {
@@ -112,7 +112,7 @@
         Some(self.state.endpoints.get(endpoint)?.member.address.clone())
     }
 
-    fn append(&self, batch: &Batch) {
+    fn append_claims(&self, batch: &Batch) {
         let (stream, events) = (self.claims.clone(), self.events.clone());
         let data = streamlog::codec::encode(batch);
         tokio::spawn(async move {
@@ -131,21 +131,24 @@
         let Some(exchange) = self.exchanges.remove(key) else {
             return;
         };
-        self.note(Moment {
+        self.record(TimelineEntry {
             what: "finished".to_string(),
             request: exchange.id.to_string(),
-            detail: format!("{outcome:?}").chars().take(MOST_DETAIL).collect(),
-            ..Moment::default()
+            detail: format!("{outcome:?}")
+                .chars()
+                .take(MAX_DETAIL_CHARS)
+                .collect(),
+            ..TimelineEntry::default()
         });
         if let Err(mpsc::error::TrySendError::Full(piece)) =
             exchange.outlet.try_send(Piece::End(outcome))
         {
-            // The buffer is full of tokens that the caller has yet to read; the end
-            // must follow them, or a whole answer would look cut.
+            // The buffer is full of unread tokens. The end is sent once there is room for it,
+            // because without it a complete answer would look truncated.
             let outlet = exchange.outlet.clone();
             tokio::spawn(async move {
                 if outlet.send(piece).await.is_err() {
-                    log::debug!("the caller left before the end of its answer");
+                    log::debug!("caller disconnected before the end of its answer");
                 }
             });
         }
@@ -162,9 +165,9 @@
             match link.exchange(to, &hello).await {
                 Ok(answer) => {
                     lock(&timeline).receive(clock.wall(), answer.hello.stamp);
-                    tell(&events, Event::Heard(heard(asked, answer))).await;
+                    tell(&events, Event::Heard(received(asked, answer))).await;
                 }
-                Err(error) => log::debug!(address:% = to, error:%; "no word of a fellow instance"),
+                Err(error) => log::debug!(address:% = to, error:%; "gossip exchange failed"),
             }
         });
     }
@@ -175,10 +178,10 @@
         };
         let (client, events) = (self.client.clone(), self.events.clone());
         tokio::spawn(async move {
-            let event = match engine::load(&client, &address, LOAD_WAIT).await {
+            let event = match engine::load(&client, &address, LOAD_TIMEOUT).await {
                 Ok(report) => Event::Reported(endpoint, report),
                 Err(error) => {
-                    log::debug!(address, error:%; "no load report");
+                    log::debug!(address, error:%; "load query failed");
                     Event::Unreachable(endpoint)
                 }
             };
@@ -191,7 +194,7 @@
             return;
         };
         let (client, events) = (self.client.clone(), self.events.clone());
-        self.begun("resumed", attempt, endpoint);
+        self.record_attempt("resumed", attempt, endpoint);
         let Some(exchange) = self.exchanges.get_mut(attempt.request) else {
             return;
         };
@@ -223,7 +226,7 @@
             })
         );
         let priority = self.priority(attempt.request);
-        self.begun("sent", attempt, endpoint);
+        self.record_attempt("sent", attempt, endpoint);
         let Some(exchange) = self.exchanges.get_mut(attempt.request) else {
             return;
         };
@@ -258,8 +261,9 @@
         exchange.attach(task.abort_handle());
     }
 
-    /// Notes where a request went, and tells the caller's side for its resume handles.
-    fn begun(&mut self, what: &str, attempt: Attempt, endpoint: target::Key) {
+    /// Records which endpoint a request was sent to, and passes it on to the response for its
+    /// resume handle.
+    fn record_attempt(&mut self, what: &str, attempt: Attempt, endpoint: target::Key) {
         let (Some(exchange), Some(target)) = (
             self.exchanges.get(attempt.request),
             self.state.endpoints.get(endpoint),
@@ -267,19 +271,19 @@
             return;
         };
         let name = target.member.name.clone();
-        let moment = Moment {
+        let entry = TimelineEntry {
             what: what.to_string(),
             request: exchange.id.to_string(),
             endpoint: name.clone(),
             domain: target.member.domain.clone(),
             detail: format!("as {}", attempt.generation),
-            ..Moment::default()
+            ..TimelineEntry::default()
         };
         let piece = Piece::Begun(name, attempt.generation);
         if exchange.outlet.try_send(piece).is_err() {
-            log::debug!(request:% = exchange.id; "the caller left or reads slowly");
+            log::debug!(request:% = exchange.id; "endpoint name not delivered: caller disconnected or response buffer full");
         }
-        self.note(moment);
+        self.record(entry);
     }
 
     fn priority(&self, key: request::Key) -> u8 {
@@ -297,10 +301,10 @@
     Ok(())
 }
 
-/// Longest description of an outcome in the time line, in characters.
-const MOST_DETAIL: usize = 160;
+/// Maximum length of an outcome in the time line, in characters.
+const MAX_DETAIL_CHARS: usize = 160;
 
-fn heard(asked: Time, answer: Answer) -> Heard {
+fn received(asked: Time, answer: Answer) -> Heard {
     let lines = answer.lines.into_iter();
     Heard {
         asked,
@@ -309,7 +313,7 @@
             next: answer.hello.next,
         },
         lines: lines
-            .map(|line| tail::line(line.offset, &Bytes::from(line.data)))
+            .map(|line| tail::config_line(line.offset, &Bytes::from(line.data)))
             .collect(),
         snapshot: answer.snapshot,
     }
--- a/crates/carawayhead/src/daemon/snapshot.rs
+++ b/crates/carawayhead/src/daemon/status.rs
@@ -1,47 +1,47 @@
-//! What the loop shows to operators.
+//! Status of the event loop for operators.
 
 use {
     crate::prelude::*,
     decision::{invariant::Rule, stats::Stats},
 };
 
-/// A copy of the loop's figures, renewed at every tick.
+/// Figures of the event loop, refreshed on every tick.
 #[derive(Clone, Debug, Default)]
-pub struct Snapshot {
-    /// Entries on their way into the claim stream.
+pub struct Status {
+    /// Claim entries that are not yet known to be in the claim stream.
     pub batch: usize,
-    /// Requests that wait.
+    /// Requests that wait for an endpoint.
     pub backlog: usize,
-    /// Checks of invariants made.
+    /// Number of invariant checks.
     pub checks: u64,
-    /// Endpoints that could take a request now.
+    /// Endpoints that can accept a request now.
     pub usable: usize,
-    /// Order keys known.
+    /// Number of known order keys.
     pub claims: usize,
-    /// Offset after the last configuration record in force.
+    /// Offset after the last applied configuration record.
     pub config_next: u64,
-    /// Endpoints in the list.
+    /// Endpoints in the instance list.
     pub endpoints: usize,
-    /// Longest turn of the loop since the last tick but one, in microseconds.
+    /// Longest iteration of the event loop since the tick before last, in microseconds.
     pub longest_turn: u64,
     /// Name of the instance.
     pub name: String,
-    /// Entry instances in the list.
+    /// Entry instances in the instance list.
     pub peers: usize,
-    /// Whether the balancer may send requests here.
+    /// Whether the load balancer may send requests to this instance.
     pub ready: bool,
     /// Requests in progress.
     pub requests: usize,
-    /// Time since the configuration was known to be complete, in milliseconds.
+    /// Time since the configuration was last known to be complete, in milliseconds.
     pub stale_ms: Option<u64>,
-    /// Counters of decisions.
+    /// Counters of the state.
     pub stats: Stats,
-    /// Violations, in the order of [`Rule::ALL`].
+    /// Number of invariant violations, in the order of [`Rule::ALL`].
     pub violations: [u64; Rule::ALL.len()],
 }
 
-impl Snapshot {
-    /// Copies the figures of a state.
+impl Status {
+    /// Collects the figures of a state.
     #[must_use]
     pub fn of(state: &State, now: Time, ready: bool, longest_turn: u64) -> Self {
         let age = state.staleness(now).map(|age| age.as_millis());
@@ -64,7 +64,7 @@
         }
     }
 
-    /// As JSON, for `status` and scripts.
+    /// Returns the body of `/status`.
     #[must_use]
     pub fn json(&self) -> Value {
         let violations = Rule::ALL.iter().zip(self.violations);
--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow the platform's streams and list.
+//! Tasks that follow the streams and the instance list of the platform.
 
 use {
     crate::prelude::*,
@@ -10,10 +10,10 @@
     },
 };
 
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed read is retried.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Follows the configuration stream.
+/// Follows the configuration stream and reports its records as events.
 pub async fn config(stream: Stream, snapshots: Stream, clock: Clock, events: Sender<Event>) {
     let mut next = 0;
     let mut hold = Duration::ZERO;
@@ -23,23 +23,27 @@
         };
         hold = READ_HOLD;
         if part.first > next {
-            // Starting in the middle would put a configuration in force that lacks what
-            // the missing records said; it starts from a snapshot, or not at all.
-            match newest(&snapshots).await {
+            // Records before `part.first` have expired. Without a snapshot that covers them,
+            // the configuration would be incomplete, so no later record is applied.
+            match newest_snapshot(&snapshots).await {
                 Some(snapshot) if snapshot.next >= part.first => {
                     next = snapshot.next;
                     tell(&events, Event::Snapshot(snapshot)).await;
                 }
                 _ => {
-                    log::error!(first = part.first, next; "configuration records have aged out unread and no snapshot has them");
-                    tokio::time::sleep(PAUSE * 25).await;
+                    log::error!(first = part.first, next; "configuration records expired before they were read and no snapshot covers them");
+                    tokio::time::sleep(READ_RETRY_DELAY * 25).await;
                 }
             }
             continue;
         }
         for entry in &part.records {
             next = entry.offset + 1;
-            tell(&events, Event::Configured(line(entry.offset, &entry.data))).await;
+            tell(
+                &events,
+                Event::Configured(config_line(entry.offset, &entry.data)),
+            )
+            .await;
         }
         if next >= part.next {
             tell(&events, Event::ConfigFresh(clock.at(part.asked))).await;
@@ -47,8 +51,8 @@
     }
 }
 
-/// Reads the newest whole snapshot.
-pub async fn newest(stream: &Stream) -> Option<Snapshot> {
+/// Reads the newest complete snapshot.
+pub async fn newest_snapshot(stream: &Stream) -> Option<Snapshot> {
     let mut assembly = codec::Assembly::default();
     let mut newest = None;
     let mut next = 0;
@@ -59,7 +63,7 @@
             match assembly.take(&entry.data) {
                 Ok(Some(snapshot)) => newest = Some(snapshot),
                 Ok(None) => {}
-                Err(error) => log::error!(offset = entry.offset, error:%; "snapshot is skipped"),
+                Err(error) => log::error!(offset = entry.offset, error:%; "snapshot part skipped"),
             }
         }
         if next >= part.next || part.records.is_empty() {
@@ -68,7 +72,7 @@
     }
 }
 
-/// Follows the snapshots, to know when the next one is due.
+/// Follows the snapshot stream, so that the state knows when the next snapshot is due.
 pub async fn snapshots(stream: Stream, events: Sender<Event>) {
     let mut assembly = codec::Assembly::default();
     let mut next = 0;
@@ -86,31 +90,31 @@
     }
 }
 
-/// Follows the claim stream.
+/// Follows the claim stream and reports its batches as events.
 pub async fn claims(stream: Stream, clock: Clock, events: Sender<Event>) {
     let mut next = 0;
-    let mut begun = false;
+    let mut has_read = false;
     while !events.is_closed() {
-        let hold = if begun { READ_HOLD } else { Duration::ZERO };
+        let hold = if has_read { READ_HOLD } else { Duration::ZERO };
         let Some(part) = read(&stream, next, hold).await else {
             continue;
         };
-        if !begun && part.first == 0 {
+        if !has_read && part.first == 0 {
             tell(&events, Event::ClaimsCover(Wall(0))).await;
         } else if part.first > next {
             let from = part.records.first().map_or(part.now, |entry| entry.at);
-            log::warn!(first = part.first, next; "claim records have aged out unread");
+            log::warn!(first = part.first, next; "claim records expired before they were read");
             tell(&events, Event::ClaimsCover(from)).await;
             next = part.first;
         }
-        begun = true;
+        has_read = true;
         let mut batches = Vec::with_capacity(part.records.len());
         for entry in &part.records {
             next = entry.offset + 1;
             match codec::decode(&entry.data) {
                 Ok(batch) => batches.push(batch),
                 Err(error) => {
-                    log::error!(offset = entry.offset, error:%; "claim record is skipped");
+                    log::error!(offset = entry.offset, error:%; "skipping a claim record that cannot be decoded");
                 }
             }
         }
@@ -123,22 +127,22 @@
     }
 }
 
-/// Follows the instance list.
-pub async fn list(client: Client, address: String, every: Duration, events: Sender<Event>) {
+/// Reads the instance list every `interval` and reports changes as events.
+pub async fn list(client: Client, address: String, interval: Duration, events: Sender<Event>) {
     let mut reader = list::Reader::new(client, address);
     while !events.is_closed() {
         match reader.read().await {
             Ok(Some(list)) => tell(&events, Event::Listed(list.members, list.peers)).await,
             Ok(None) => {}
-            Err(error) => log::warn!(error:%; "instance list cannot be read"),
+            Err(error) => log::warn!(error:%; "instance list could not be read"),
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// A configuration record with its text.
+/// Decodes a configuration record and keeps its data.
 #[must_use]
-pub fn line(offset: u64, data: &Bytes) -> Line {
+pub fn config_line(offset: u64, data: &Bytes) -> Line {
     Line {
         data: data.clone(),
         offset,
@@ -146,7 +150,7 @@
     }
 }
 
-/// Reads a configuration record of the log; one with faults changes nothing.
+/// Decodes a configuration record; one with faults is replaced by an empty record.
 #[must_use]
 pub fn decode_record(offset: u64, data: &[u8]) -> Record {
     let name = format!("offset {offset}");
@@ -156,7 +160,7 @@
             operator::record::parse(&name, text).map_err(|faults| Error::Faults(faults).to_string())
         });
     parsed.unwrap_or_else(|error| {
-        log::error!(offset, error; "configuration record has faults and changes nothing");
+        log::error!(offset, error; "ignoring a configuration record with faults");
         Record {
             changes: Vec::new(),
             schema: decision::record::SCHEMA,
@@ -168,8 +172,8 @@
     match stream.read(next, hold).await {
         Ok(part) => Some(part),
         Err(error) => {
-            log::warn!(stream = stream.name, error:%; "log cannot be read");
-            tokio::time::sleep(PAUSE).await;
+            log::warn!(stream = stream.name, error:%; "log could not be read");
+            tokio::time::sleep(READ_RETRY_DELAY).await;
             None
         }
     }
--- a/crates/carawayhead/src/daemon/timeline.rs
+++ b/crates/carawayhead/src/daemon/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of one instance, kept for the time line.
+//! Time line of the recent events of an instance.
 
 use {
     crate::prelude::*,
@@ -7,33 +7,33 @@
     std::collections::VecDeque,
 };
 
-/// Moments kept.
-const MOST: usize = 20_000;
+/// Maximum number of entries kept.
+const MAX_ENTRIES: usize = 20_000;
 
-/// Something that happened at an instance.
+/// An event at an instance.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Moment {
-    /// When, by the hybrid clock.
+pub struct TimelineEntry {
+    /// Time stamp of the hybrid logical clock.
     pub stamp: Stamp,
     /// Name of the instance.
     pub instance: String,
-    /// What.
+    /// Kind of event.
     pub what: String,
-    /// The request, if it was about one.
+    /// Request id, if the event concerns a request.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub request: String,
-    /// The endpoint, if it was about one.
+    /// Name of the endpoint, if the event concerns one.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub endpoint: String,
-    /// The endpoint's failure domain.
+    /// Failure domain of the endpoint.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub domain: String,
-    /// More about it.
+    /// Further details.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
-impl Display for Moment {
+impl Display for TimelineEntry {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let Self {
             detail,
@@ -61,56 +61,56 @@
     }
 }
 
-/// The last moments of an instance, and its hybrid clock.
+/// The most recent entries of an instance, and its hybrid logical clock.
 #[derive(Debug, Default)]
 pub struct Timeline {
     dropped: u64,
-    moments: VecDeque<Moment>,
+    entries: VecDeque<TimelineEntry>,
     stamp: Stamp,
 }
 
 impl Timeline {
-    /// Notes a moment; its stamp is set here.
-    pub fn note(&mut self, wall: Wall, moment: Moment) {
+    /// Appends an entry and sets its time stamp.
+    pub fn record(&mut self, wall: Wall, entry: TimelineEntry) {
         self.stamp = self.stamp.next(wall);
-        self.moments.push_back(Moment {
+        self.entries.push_back(TimelineEntry {
             stamp: self.stamp,
-            ..moment
+            ..entry
         });
-        if self.moments.len() > MOST {
-            self.moments.pop_front();
+        if self.entries.len() > MAX_ENTRIES {
+            self.entries.pop_front();
             self.dropped += 1;
         }
     }
 
-    /// Takes in the clock of a message.
+    /// Merges the clock of a received message.
     pub fn receive(&mut self, wall: Wall, other: Stamp) {
         self.stamp = self.stamp.receive(other, wall);
     }
 
-    /// The clock for a message to be sent.
+    /// Advances the clock and returns the time stamp for a message to send.
     pub const fn send(&mut self, wall: Wall) -> Stamp {
         self.stamp = self.stamp.next(wall);
         self.stamp
     }
 
-    /// The moments kept, after a line that declares those let go.
+    /// Returns the entries; if older ones were dropped, the first entry says how many.
     #[must_use]
-    pub fn moments(&self) -> Vec<Moment> {
-        let mut moments = Vec::with_capacity(self.moments.len() + 1);
+    pub fn entries(&self) -> Vec<TimelineEntry> {
+        let mut entries = Vec::with_capacity(self.entries.len() + 1);
         if self.dropped > 0 {
-            moments.push(Moment {
+            entries.push(TimelineEntry {
                 stamp: self
-                    .moments
+                    .entries
                     .front()
-                    .map(|moment| moment.stamp)
+                    .map(|entry| entry.stamp)
                     .unwrap_or_default(),
                 what: "gap".to_string(),
-                detail: format!("{} earlier moments were let go", self.dropped),
-                ..Moment::default()
+                detail: format!("{} earlier entries were dropped", self.dropped),
+                ..TimelineEntry::default()
             });
         }
-        moments.extend(self.moments.iter().cloned());
-        moments
+        entries.extend(self.entries.iter().cloned());
+        entries
     }
 }
--- a/crates/carawayhead/src/error.rs
+++ b/crates/carawayhead/src/error.rs
@@ -1,36 +1,36 @@
-//! Errors that end a command.
+//! Errors of commands.
 
 use crate::prelude::*;
 
-/// Why a command could not do its work.
+/// Reason why a command failed.
 #[derive(Debug)]
 pub enum Error {
-    /// The demo did not see what it should have seen.
+    /// A check of the demo failed.
     Demo(String),
-    /// Files have faults.
+    /// Settings or record files have faults.
     Faults(Vec<Fault>),
-    /// A file or socket could not be used: its name and the cause.
+    /// I/O error: the name of the file or resource, and the cause.
     Io(String, std::io::Error),
-    /// The listener for callers could not be started.
+    /// A listener could not be started: its address and the cause.
     Listen(String, String),
-    /// An instance that forwards cannot run.
+    /// A forwarding instance failed.
     Forward(proxy::Error),
-    /// The messages between instances could not be set up.
-    Fellow(fellow::Error),
-    /// The platform could not be asked.
+    /// Messaging between instances could not be set up.
+    Peer(fellow::Error),
+    /// A request to the platform failed.
     Platform(streamlog::Error),
-    /// A publication lost against another record.
-    Beaten(String),
-    /// An item does not exist.
+    /// A record was not applied because another record changed the item first.
+    Conflict(String),
+    /// The requested item, record or instance was not found.
     Missing(String),
-    /// It is not known whether a publication took effect.
+    /// It is unknown whether a record was published.
     Unsettled(String),
 }
 
 impl Display for Error {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
-            Self::Beaten(text) | Self::Missing(text) | Self::Unsettled(text) => f.write_str(text),
+            Self::Conflict(text) | Self::Missing(text) | Self::Unsettled(text) => f.write_str(text),
             Self::Demo(text) => write!(f, "demo: {text}"),
             Self::Faults(faults) => {
                 for fault in faults {
@@ -38,7 +38,7 @@
                 }
                 write!(f, "{} faults", faults.len())
             }
-            Self::Fellow(error) => write!(f, "{error}"),
+            Self::Peer(error) => write!(f, "{error}"),
             Self::Forward(error) => write!(f, "{error}"),
             Self::Io(name, error) => write!(f, "{name}: {error}"),
             Self::Listen(address, error) => write!(f, "cannot listen at {address}: {error}"),
@@ -63,7 +63,7 @@
 
 impl From<fellow::Error> for Error {
     fn from(error: fellow::Error) -> Self {
-        Self::Fellow(error)
+        Self::Peer(error)
     }
 }
 
@@ -74,15 +74,15 @@
 }
 
 impl Error {
-    /// The exit code for it; docs/OPERATING.md lists them.
+    /// Returns the exit code, as listed in docs/OPERATING.md.
     #[must_use]
     pub fn code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Faults(_) | Self::Forward(proxy::Error::Settings(..)) => 2,
-            Self::Beaten(_) => 3,
+            Self::Conflict(_) => 3,
             Self::Unsettled(_) => 4,
             Self::Demo(_)
-            | Self::Fellow(_)
+            | Self::Peer(_)
             | Self::Forward(_)
             | Self::Io(..)
             | Self::Listen(..)
--- a/crates/carawayhead/src/lib.rs
+++ b/crates/carawayhead/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon and the commands of `carawayhead`.
+//! The `carawayhead` commands and the daemon that `carawayhead serve` runs.
 
 pub mod clock;
 pub mod command;
--- a/crates/carawayhead/src/main.rs
+++ b/crates/carawayhead/src/main.rs
@@ -1,4 +1,4 @@
-//! The shipped program.
+//! The `carawayhead` binary.
 
 use std::process::ExitCode;
 
