--- a/crates/carawayhead/src/command/check.rs
+++ b/crates/carawayhead/src/command/check.rs
@@ -1,17 +1,17 @@
-//! `carawayhead check`.
+//! `carawayhead check`: validates settings and record files.
 
 use crate::prelude::*;
 
-/// Checks every file and reports all faults.
+/// Validates every file and reports all faults.
 ///
 /// # Errors
 ///
-/// A file cannot be read, or has faults.
+/// Returns an error if a file cannot be read or has faults.
 pub fn run(files: &[String]) -> Result<(), Error> {
     let mut faults = Vec::new();
     for file in files {
-        let text = text(file)?;
-        if forwards(&text) {
+        let text = read_file(file)?;
+        if is_forward_settings(&text) {
             proxy::Settings::parse(file, &text)?;
             continue;
         }
@@ -24,25 +24,25 @@
     Ok(())
 }
 
-/// Reads a file.
+/// Reads a text file.
 ///
 /// # Errors
 ///
-/// It cannot be read.
-pub fn text(file: &str) -> Result<String, Error> {
+/// Returns an error if the file cannot be read.
+pub fn read_file(file: &str) -> Result<String, Error> {
     std::fs::read_to_string(file).map_err(|error| Error::Io(file.to_string(), error))
 }
 
-/// Whether a file holds settings of an instance that forwards: only they have joint bounds.
-fn forwards(text: &str) -> bool {
+/// Whether `text` is the settings of a forwarding instance, which alone have a `joint` table.
+fn is_forward_settings(text: &str) -> bool {
     text.lines().any(|line| line.trim() == "[joint]")
 }
 
 fn check(file: &str, text: &str) -> Vec<Fault> {
-    let record = text
+    let is_record = text
         .lines()
         .any(|line| line.trim_start().starts_with("schema"));
-    if record {
+    if is_record {
         return operator::record::parse(file, text)
             .err()
             .unwrap_or_default();
--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -1,4 +1,4 @@
-//! `carawayhead demo`: the whole system in one process, on loopback.
+//! `carawayhead demo`: runs the whole system in one process, on loopback.
 
 use {
     super::{publish, serve},
@@ -19,25 +19,25 @@
     std::io::Write as _,
 };
 
-/// The failure domains of the demo, an entry instance and an engine in each.
+/// Failure domains of the demo, each with an entry instance and an engine.
 const DOMAINS: [&str; 2] = ["guet-ndar", "sor"];
 
-/// The caller's key.
-const KEY: &str = "demo-key";
+/// Key of the caller.
+const CALLER_KEY: &str = "demo-key";
 
-/// Signs the resume handles of the demo.
-const SECRET: &str = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
+/// Secret that signs resume handles.
+const HANDLE_SECRET: &str = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
-/// Tokens of the streamed report.
-const TOKENS: usize = 60;
+/// Length of the streamed report, in tokens.
+const REPORT_TOKENS: usize = 60;
 
-/// Longest wait for anything that should happen at once.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Timeout of each expected condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause between two looks at something awaited.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a condition is checked.
+const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything that the demo runs.
+/// The running parts of the demo.
 struct Demo {
     client: Client,
     desk: String,
@@ -47,13 +47,13 @@
     log: String,
 }
 
-/// Shows the whole system at work.
+/// Runs the demo.
 ///
 /// # Errors
 ///
-/// Something that should have been seen was not.
+/// Returns an error if a part cannot be started or a result is not as expected.
 pub async fn run() -> Result<(), Error> {
-    serve::logs("error");
+    serve::init_logging("error");
     println!(
         "1. starting a log, an instance list, two engines, a booking desk, two entry instances"
     );
@@ -71,12 +71,14 @@
         "4. failure domain {} is taken out by a published record:",
         DOMAINS[1]
     );
-    take_out(&demo).await?;
+    drain_domain(&demo).await?;
     println!("5. what happened, in one order over both instances:");
     timeline(&demo).await?;
     for instance in demo.instances {
         if instance.drain.send(()).is_err() {
-            return Err(Error::Demo("an instance ended early".to_string()));
+            return Err(Error::Demo(
+                "an instance stopped before it was drained".to_string(),
+            ));
         }
     }
     println!("all outcomes seen");
@@ -99,7 +101,7 @@
     };
     demo.register("desk-1", &demo.desk, DOMAINS[0], "service")
         .await?;
-    publish::publish(&publish::config_stream(&demo.log), &record()).await?;
+    publish::publish(&publish::config_stream(&demo.log), &initial_record()).await?;
     for domain in DOMAINS {
         let engine = Engine::new(EngineSettings {
             checks_fencing: true,
@@ -121,7 +123,7 @@
             .await?;
         demo.instances.push(instance);
     }
-    demo.warm().await?;
+    demo.wait_until_ready().await?;
     Ok(demo)
 }
 
@@ -132,8 +134,8 @@
     }
 }
 
-fn record() -> String {
-    let hash = blake3::hash(KEY.as_bytes()).to_hex();
+fn initial_record() -> String {
+    let hash = blake3::hash(CALLER_KEY.as_bytes()).to_hex();
     format!(
         "schema = 1\n\n[customer.regie]\nkey_hashes = [\"{hash}\"]\n\n\
          [route.survey]\nversions = [{{ model = \"survey-1\" }}]\n\n[service.kiln]\n"
@@ -144,13 +146,13 @@
 async fn report(demo: &Demo) -> Result<(), Error> {
     let body = json!({
         "model": "survey",
-        "prompt": format!("Damage survey of plate 17, rue Blanchot. tokens={TOKENS}"),
+        "prompt": format!("Damage survey of plate 17, rue Blanchot. tokens={REPORT_TOKENS}"),
         "stream": true,
     });
     let mut reply = demo
-        .ask(0, "/v1/completions", None, &body.to_string())
+        .post(0, "/v1/completions", None, &body.to_string())
         .await?;
-    seen(reply.status() == 200, "the report was not streamed")?;
+    ensure(reply.status() == 200, "the report was not streamed")?;
     let mut parser = Parser::default();
     let mut tokens = 0;
     let mut done = false;
@@ -170,47 +172,47 @@
         }
     }
     println!();
-    seen(
-        done && tokens == TOKENS,
-        "the report was not whole and in order",
+    ensure(
+        done && tokens == REPORT_TOKENS,
+        "the report was not complete and in order",
     )?;
     println!("   {tokens} tokens, each once and in order");
     Ok(())
 }
 
-/// Sends a booking twice and counts how often it ran.
+/// Sends a booking twice and checks that it ran once.
 async fn booking(demo: &Demo) -> Result<(), Error> {
     let key = Uuid::now_v7().to_string();
     let mut answers = Vec::new();
     for instance in 0..2 {
         let reply = demo
-            .ask(instance, "/services/kiln/bookings", Some(&key), "plate 17")
+            .post(instance, "/services/kiln/bookings", Some(&key), "plate 17")
             .await?;
         let status = reply.status();
         let body = reply.whole(4096).await.map_err(streamlog::Error::from)?;
         let body = String::from_utf8_lossy(&body).into_owned();
         println!("   through instance {}: {status} {body}", instance + 1);
-        seen(status == 200, "the booking was not answered")?;
+        ensure(status == 200, "the booking was not answered")?;
         answers.push(body);
     }
     let runs = demo.get(&demo.desk, "/control").await?;
     let runs = runs.as_array().map_or(0, Vec::len);
-    seen(
+    ensure(
         runs == 1 && answers[0] == answers[1],
-        "the booking did not run once",
+        "the booking did not run exactly once",
     )?;
     println!("   the desk ran it {runs} time; both callers got the same answer");
     Ok(())
 }
 
-/// Takes a failure domain out and sends work through its own instance.
-async fn take_out(demo: &Demo) -> Result<(), Error> {
+/// Drains a failure domain and sends requests through the instance in it.
+async fn drain_domain(demo: &Demo) -> Result<(), Error> {
     let stream = publish::config_stream(&demo.log);
     let published = Instant::now();
-    let offset = publish::domain(&stream, DOMAINS[1], true).await?;
+    let offset = publish::set_domain(&stream, DOMAINS[1], true).await?;
     for instance in &demo.instances {
         let status = instance.operator.to_string();
-        demo.until("the record is in force", async || {
+        demo.wait_until("the record to be in force", async || {
             let status = demo.get(&status, "/status").await.unwrap_or_default();
             status["config_next_offset"].as_u64() > Some(offset)
         })
@@ -220,17 +222,20 @@
         "   in force at both instances after {} ms",
         published.elapsed().as_millis()
     );
-    let before = demo.starts(1).await?;
+    let before = demo.start_count(1).await?;
     for number in 0..6 {
         let body = json!({"model": "survey", "prompt": format!("Check {number}. tokens=3")});
         let reply = demo
-            .ask(1, "/v1/completions", None, &body.to_string())
+            .post(1, "/v1/completions", None, &body.to_string())
             .await?;
-        seen(reply.status() == 200, "a check was not answered")?;
+        ensure(reply.status() == 200, "a check was not answered")?;
         reply.whole(1 << 16).await.map_err(streamlog::Error::from)?;
     }
-    let after = demo.starts(1).await?;
-    seen(before == after, "the domain that is out got new work")?;
+    let after = demo.start_count(1).await?;
+    ensure(
+        before == after,
+        "the drained failure domain received new requests",
+    )?;
     println!(
         "   6 checks through the instance in {} ran elsewhere, none there",
         DOMAINS[1]
@@ -238,33 +243,33 @@
     Ok(())
 }
 
-/// Prints the merged time line.
+/// Prints the time lines of both instances in one order.
 async fn timeline(demo: &Demo) -> Result<(), Error> {
-    let mut moments = Vec::new();
+    let mut entries = Vec::new();
     for instance in &demo.instances {
-        let kept = demo
+        let body = demo
             .get(&instance.operator.to_string(), "/timeline")
             .await?;
-        moments.extend(serde_json::from_value::<Vec<TimelineEntry>>(kept).unwrap_or_default());
+        entries.extend(serde_json::from_value::<Vec<TimelineEntry>>(body).unwrap_or_default());
     }
-    moments.sort();
-    seen(!moments.is_empty(), "the time line is empty")?;
-    for moment in moments {
-        let line = moment.to_string();
+    entries.sort();
+    ensure(!entries.is_empty(), "the time line is empty")?;
+    for entry in entries {
+        let line = entry.to_string();
         println!("   {}", line.chars().take(150).collect::<String>());
     }
     Ok(())
 }
 
-fn seen(outcome: bool, otherwise: &str) -> Result<(), Error> {
-    if outcome {
+fn ensure(condition: bool, message: &str) -> Result<(), Error> {
+    if condition {
         return Ok(());
     }
-    Err(Error::Demo(otherwise.to_string()))
+    Err(Error::Demo(message.to_string()))
 }
 
 impl Demo {
-    async fn ask(
+    async fn post(
         &self,
         instance: usize,
         path: &str,
@@ -274,7 +279,7 @@
         let address = self.instances[instance].caller.to_string();
         let mut request = Request::post(path)
             .header(header::HOST, &address)
-            .header(header::AUTHORIZATION, format!("Bearer {KEY}"))
+            .header(header::AUTHORIZATION, format!("Bearer {CALLER_KEY}"))
             .header(header::CONTENT_TYPE, "application/json");
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
@@ -327,7 +332,7 @@
     fn settings(&self, domain: &str) -> String {
         format!(
             "[instance]\nname = \"entry-{domain}\"\ndomain = \"{domain}\"\n\
-             [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{SECRET}\"\n\
+             [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{HANDLE_SECRET}\"\n\
              [operator]\ndrain_notice = \"0ms\"\n\
              [platform]\nlog = \"{}\"\nlist = \"{}\"\nlist_interval = \"50ms\"\n\
              [limits]\npoll_interval = \"50ms\"\n",
@@ -335,29 +340,29 @@
         )
     }
 
-    async fn starts(&self, engine: usize) -> Result<u64, Error> {
+    async fn start_count(&self, engine: usize) -> Result<u64, Error> {
         let stats = self.get(&self.engines[engine], "/control").await?;
         Ok(stats["starts"].as_u64().unwrap_or_default())
     }
 
-    async fn until(&self, what: &str, condition: impl AsyncFn() -> bool) -> Result<(), Error> {
+    async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) -> Result<(), Error> {
         let begun = Instant::now();
         while !condition().await {
-            seen(
-                begun.elapsed() < PATIENCE,
-                &format!("not seen in time: {what}"),
+            ensure(
+                begun.elapsed() < CONDITION_TIMEOUT,
+                &format!("timed out waiting for: {what}"),
             )?;
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CONDITION_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Waits until both instances may send to every endpoint.
-    async fn warm(&self) -> Result<(), Error> {
+    /// Waits until both instances are ready and can send to every endpoint.
+    async fn wait_until_ready(&self) -> Result<(), Error> {
         let endpoints = json!(self.engines.len() + 1);
         for instance in &self.instances {
             let address = instance.operator.to_string();
-            self.until("an instance is ready", async || {
+            self.wait_until("an instance to be ready", async || {
                 let status = self.get(&address, "/status").await.unwrap_or_default();
                 status["ready"] == json!(true) && status["usable"] == endpoints
             })
--- a/crates/carawayhead/src/command/explain.rs
+++ b/crates/carawayhead/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `carawayhead explain`.
+//! `carawayhead explain`: classifies how requests ended.
 
 use {
     crate::prelude::*,
@@ -6,18 +6,18 @@
     std::io::BufRead as _,
 };
 
-/// Prints why requests ended as they did, from the log lines in files.
+/// Prints why requests ended as they did, according to the log lines in `files`.
 ///
 /// # Errors
 ///
-/// A file cannot be read.
+/// Returns an error if a file cannot be read.
 pub fn run(files: &[String], as_json: bool) -> Result<(), Error> {
     let mut requests = Requests::default();
     for file in files {
-        let failed = |error| Error::Io(file.clone(), error);
-        let opened = std::fs::File::open(file).map_err(failed)?;
-        for line in std::io::BufReader::new(opened).lines() {
-            requests.read(&line.map_err(failed)?);
+        let to_error = |error| Error::Io(file.clone(), error);
+        let reader = std::fs::File::open(file).map_err(to_error)?;
+        for line in std::io::BufReader::new(reader).lines() {
+            requests.read(&line.map_err(to_error)?);
         }
     }
     let table = Table::new(&requests);
--- a/crates/carawayhead/src/command/forward.rs
+++ b/crates/carawayhead/src/command/forward.rs
@@ -1,12 +1,12 @@
-//! `carawayhead forward`.
+//! `carawayhead forward`: runs a forwarding instance.
 
 use crate::prelude::*;
 
-/// Runs one instance that forwards requests until it is told to stop.
+/// Runs a forwarding instance until it is stopped by a signal.
 ///
 /// # Errors
 ///
-/// The settings have faults, or an address cannot be bound.
+/// Returns an error if the settings have faults or an address cannot be bound.
 pub fn run(file: &str) -> Result<(), Error> {
     let settings = proxy::Settings::load(file)?;
     proxy::journal::start(log::LevelFilter::Info, &settings.instance.name);
--- a/crates/carawayhead/src/command/mod.rs
+++ b/crates/carawayhead/src/command/mod.rs
@@ -16,19 +16,19 @@
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 enum Command {
-    /// Make a certificate for an instance, and the authority before the first one
+    /// Create a certificate for an instance, and the certificate authority if there is none
     ///
     /// Example: carawayhead certificate --folder keys entry-1
     #[bpaf(command)]
     Certificate {
-        /// Folder of the authority and the certificates
+        /// Folder of the certificate authority and the certificates
         #[bpaf(argument("FOLDER"))]
         folder: String,
         /// Name of the instance
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Check settings and record files in full
+    /// Check settings and record files and report every fault
     ///
     /// Example: carawayhead check settings.toml records/customers.toml
     #[bpaf(command)]
@@ -37,13 +37,13 @@
         #[bpaf(positional("FILE"), some("name at least one file"))]
         files: Vec<String>,
     },
-    /// Show the whole system at work on this machine, in under 15 seconds
+    /// Run the whole system on this machine as a demonstration, in under 15 seconds
     ///
     /// Example: carawayhead demo
     #[cfg(feature = "stand-ins")]
     #[bpaf(command)]
     Demo,
-    /// Take a failure domain out: its endpoints get no new work
+    /// Drain a failure domain: its endpoints get no new requests
     ///
     /// Example: carawayhead drain --log 10.0.0.5:9000 sor
     #[bpaf(command)]
@@ -55,14 +55,14 @@
         #[bpaf(positional("DOMAIN"))]
         domain: String,
     },
-    /// Tell why requests ended as they did, from the log lines of instances that forward
+    /// Explain why requests ended as they did, from the log lines of forwarding instances
     ///
     /// Example: carawayhead explain instances/*.log
     #[bpaf(command)]
     Explain {
         /// Print JSON
         json: bool,
-        /// Files of log lines
+        /// Log files
         #[bpaf(positional("FILE"), some("name at least one file"))]
         files: Vec<String>,
     },
@@ -75,7 +75,7 @@
         #[bpaf(argument("FILE"), env("CARAWAYHEAD_SETTINGS"))]
         settings: String,
     },
-    /// List every published record with what it came to
+    /// List every published record and its result
     ///
     /// Example: carawayhead history --log 10.0.0.5:9000
     #[bpaf(command)]
@@ -86,7 +86,7 @@
         /// Print JSON
         json: bool,
     },
-    /// Make a caller's key and its hash
+    /// Generate a caller key and its hash
     ///
     /// Example: carawayhead key
     #[bpaf(command)]
@@ -99,13 +99,13 @@
         /// IP address and port of the log
         #[bpaf(argument("ADDRESS"))]
         log: String,
-        /// Only tell what would happen
+        /// Only report what would happen
         dry_run: bool,
-        /// The record
+        /// Record file
         #[bpaf(positional("FILE"))]
         file: String,
     },
-    /// Take a failure domain back in
+    /// Restore a drained failure domain
     ///
     /// Example: carawayhead restore --log 10.0.0.5:9000 sor
     #[bpaf(command)]
@@ -136,17 +136,17 @@
         log: String,
         /// Print JSON
         json: bool,
-        /// The item, as kind.name
+        /// Name of the item, as kind.name
         #[bpaf(positional("ITEM"))]
         item: Option<String>,
     },
-    /// Run a stand-in for the platform or a back end, for trials and tests
+    /// Run a stand-in for the platform or an endpoint, for trials and tests
     ///
     /// Example: carawayhead stand-in engine --model survey-1
     #[cfg(feature = "stand-ins")]
     #[bpaf(command("stand-in"))]
     StandIn(#[bpaf(external(standin::command::parser))] standin::command::Command),
-    /// Show what instances do and which configuration they have in force
+    /// Show the status of instances and the configuration they have in force
     ///
     /// Example: carawayhead status 10.0.0.7:9100 10.0.0.8:9100
     #[bpaf(command)]
@@ -173,7 +173,7 @@
 
 fn execute(command: Command) -> Result<(), Error> {
     match command {
-        Command::Certificate { folder, name } => secrets::certificate(&folder, &name),
+        Command::Certificate { folder, name } => secrets::create_certificate(&folder, &name),
         Command::Check { files } => check::run(&files),
         #[cfg(feature = "stand-ins")]
         Command::Demo => block(demo::run()),
@@ -182,7 +182,7 @@
         Command::Forward { settings } => forward::run(&settings),
         Command::History { json, log } => block(show::history(&publish::config_stream(&log), json)),
         Command::Key => {
-            secrets::caller_key();
+            secrets::create_caller_key();
             Ok(())
         }
         Command::Publish { dry_run, file, log } => block(publish_file(&log, &file, dry_run)),
@@ -195,20 +195,20 @@
         )),
         #[cfg(feature = "stand-ins")]
         Command::StandIn(command) => block(async {
-            let ended = standin::command::run(command).await;
-            ended.map_err(|error| Error::Io("stand-in".to_string(), error))
+            let result = standin::command::run(command).await;
+            result.map_err(|error| Error::Io("stand-in".to_string(), error))
         }),
         Command::Status { addresses, json } => block(show::status(&addresses, json)),
     }
 }
 
-/// Runs `work` on a loop of its own.
-fn block(work: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
+/// Runs `future` to completion on a single-threaded runtime.
+fn block(future: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(|error| Error::Io("runtime".to_string(), error))?;
-    runtime.block_on(work)
+    runtime.block_on(future)
 }
 
 async fn publish_file(log: &str, file: &str, dry: bool) -> Result<(), Error> {
@@ -219,7 +219,7 @@
 }
 
 async fn set_domain(log: &str, domain: &str, out: bool) -> Result<(), Error> {
-    let offset = publish::domain(&publish::config_stream(log), domain, out).await?;
+    let offset = publish::set_domain(&publish::config_stream(log), domain, out).await?;
     let state = if out { "out" } else { "in" };
     println!("{domain} is {state} from offset {offset}");
     Ok(())
--- a/crates/carawayhead/src/command/publish.rs
+++ b/crates/carawayhead/src/command/publish.rs
@@ -1,7 +1,7 @@
-//! Publication of configuration records, and reading them back.
+//! Publishes configuration records and reads them back.
 
 use {
-    super::check::text,
+    super::check::read_file,
     crate::{
         daemon::{
             instance::{CONFIG_STREAM, SNAPSHOTS_STREAM},
@@ -16,13 +16,13 @@
     streamlog::stream::{Entry, Stream, settled},
 };
 
-/// How often a publication whose answer was lost is looked for.
-const LOOKS: u32 = 25;
+/// How often the stream is read to find a published record.
+const MAX_LOOKUPS: u32 = 25;
 
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two lookups.
+const LOOKUP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The configuration stream of the log at `address`.
+/// Returns the configuration stream of the log at `address`.
 #[must_use]
 pub fn config_stream(address: &str) -> Stream {
     Stream {
@@ -32,29 +32,32 @@
     }
 }
 
-/// Checks a file and publishes it.
+/// Validates a record file and publishes it, or only validates it against the log if `dry`.
+/// Returns the offset of the record.
 ///
 /// # Errors
 ///
-/// The file has faults, another record came first, or the log cannot be asked.
+/// Returns an error if the file has faults, the record conflicts with an earlier one, or the log
+/// cannot be read or written.
 pub async fn file(stream: &Stream, file: &str, dry: bool) -> Result<u64, Error> {
-    let text = text(file)?;
+    let text = read_file(file)?;
     let record = operator::record::parse(file, &text)?;
     if dry {
         let mut config = replay(stream).await?.config;
         let next = config.next();
-        verdict(&config.apply(next, &record))?;
+        check_applied(&config.apply(next, &record))?;
         return Ok(next);
     }
     publish(stream, &text).await
 }
 
-/// Takes a failure domain out, or back in.
+/// Drains a failure domain, or restores it.
 ///
 /// # Errors
 ///
-/// Another record came first, or the log cannot be asked.
-pub async fn domain(stream: &Stream, name: &str, out: bool) -> Result<u64, Error> {
+/// Returns an error if the record conflicts with an earlier one, or the log cannot be read or
+/// written.
+pub async fn set_domain(stream: &Stream, name: &str, out: bool) -> Result<u64, Error> {
     let item = Item {
         kind: Kind::Domain,
         name: name.to_string(),
@@ -64,72 +67,77 @@
     publish(stream, &operator::record::render(&item, &body, version)).await
 }
 
-/// Appends a record and tells whether it came into force.
+/// Appends a record and returns its offset once it is in force.
 ///
 /// # Errors
 ///
-/// Another record came first, or the log cannot be asked.
+/// Returns an error if the record conflicts with an earlier one, or the log cannot be read or
+/// written.
 pub async fn publish(stream: &Stream, text: &str) -> Result<u64, Error> {
-    let mark = format!("# publication {}", Uuid::new_v4());
-    let text = format!("{}\n{mark}\n", text.trim_end());
-    let begun = replay(stream).await?.config.next();
+    let marker = format!("# publication {}", Uuid::new_v4());
+    let text = format!("{}\n{marker}\n", text.trim_end());
+    let start = replay(stream).await?.config.next();
     let result = stream.append(Bytes::from(text)).await;
     match (settled(&result), result) {
         (AppendResult::Refused, Err(error)) => return Err(error.into()),
         (_, Ok(_)) => {}
-        (_, Err(error)) => log::warn!(error:%; "the answer was lost; looking for the record"),
+        (_, Err(error)) => log::warn!(error:%; "append result unknown; searching the log"),
     }
-    // The answer of the log says nothing of other records, so the outcome is read
-    // from the stream in any case.
-    for _ in 0..LOOKS {
+    // An accepted append can still conflict with an earlier record, so the result is always
+    // read back from the stream.
+    for _ in 0..MAX_LOOKUPS {
         let replayed = replay(stream).await?;
-        if let Some((offset, applied)) = replayed.find(&mark, begun) {
-            verdict(applied)?;
+        if let Some((offset, applied)) = replayed.find(&marker, start) {
+            check_applied(applied)?;
             return Ok(offset);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(LOOKUP_INTERVAL).await;
     }
     Err(Error::Unsettled(
-        "the record is not in the log yet and may still arrive; publishing it again is harmless"
+        "the record is not in the log yet and may still arrive; it is safe to publish it again"
             .to_string(),
     ))
 }
 
-/// One record of the stream with what it came to.
+/// A record of the stream and the result of applying it.
 #[derive(Debug)]
-pub struct Line {
-    /// What applying it came to.
+pub struct AppliedRecord {
+    /// Result of applying the record.
     pub applied: Applied,
-    /// The record as it stands in the log.
+    /// The record as stored in the log.
     pub entry: Entry,
 }
 
-/// The stream read from its first record to its end.
+/// The result of reading the stream from its first available record to its end.
 #[derive(Debug, Default)]
 pub struct Replay {
-    /// The configuration in force at the end.
+    /// The configuration after the last record.
     pub config: Config,
-    /// The records.
-    pub lines: Vec<Line>,
+    /// The records, in order.
+    pub records: Vec<AppliedRecord>,
 }
 
 impl Replay {
-    fn find(&self, mark: &str, from: u64) -> Option<(u64, &Applied)> {
-        let mut lines = self.lines.iter().filter(|line| line.entry.offset >= from);
-        let line = lines.find(|line| {
-            String::from_utf8_lossy(&line.entry.data)
+    fn find(&self, marker: &str, from: u64) -> Option<(u64, &Applied)> {
+        let mut records = self
+            .records
+            .iter()
+            .filter(|record| record.entry.offset >= from);
+        let record = records.find(|record| {
+            String::from_utf8_lossy(&record.entry.data)
                 .trim_end()
-                .ends_with(mark)
+                .ends_with(marker)
         })?;
-        Some((line.entry.offset, &line.applied))
+        Some((record.entry.offset, &record.applied))
     }
 }
 
-/// Reads the whole stream.
+/// Reads the whole stream, starting from a snapshot if older records have expired.
 ///
 /// # Errors
 ///
-/// The log cannot be asked.
+/// Returns an error if the log cannot be read, or records have expired and no snapshot covers
+/// them.
 pub async fn replay(stream: &Stream) -> Result<Replay, Error> {
     let mut replay = Replay::default();
     let mut next = 0;
@@ -143,7 +151,7 @@
             let snapshot = tail::newest_snapshot(&snapshots).await;
             let Some(snapshot) = snapshot.filter(|snapshot| snapshot.next >= part.first) else {
                 return Err(Error::Missing(
-                    "records have aged out and no snapshot has them".to_string(),
+                    "records have expired and no snapshot covers them".to_string(),
                 ));
             };
             next = snapshot.next;
@@ -154,7 +162,7 @@
             next = entry.offset + 1;
             let record = tail::decode_record(entry.offset, &entry.data);
             let applied = replay.config.apply(entry.offset, &record);
-            replay.lines.push(Line { applied, entry });
+            replay.records.push(AppliedRecord { applied, entry });
         }
         if next >= part.next {
             return Ok(replay);
@@ -162,7 +170,7 @@
     }
 }
 
-fn verdict(applied: &Applied) -> Result<(), Error> {
+fn check_applied(applied: &Applied) -> Result<(), Error> {
     match applied {
         Applied::Beaten {
             item,
--- a/crates/carawayhead/src/command/serve.rs
+++ b/crates/carawayhead/src/command/serve.rs
@@ -1,32 +1,32 @@
-//! `carawayhead serve`.
+//! `carawayhead serve`: runs an entry instance.
 
 use {
-    super::check::text,
+    super::check::read_file,
     crate::{daemon, prelude::*},
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// Runs one instance until it is told to leave.
+/// Runs an entry instance until it is drained after a signal.
 ///
 /// # Errors
 ///
-/// The settings have faults, or an address cannot be bound.
+/// Returns an error if the settings have faults or an address cannot be bound.
 pub fn run(file: &str) -> Result<(), Error> {
-    let settings = Settings::parse(file, &text(file)?)?;
-    logs("info");
+    let settings = Settings::parse(file, &read_file(file)?)?;
+    init_logging("info");
     super::block(serve(settings))
 }
 
 async fn serve(settings: Settings) -> Result<(), Error> {
-    let mut terminate = watch(SignalKind::terminate())?;
-    let mut interrupt = watch(SignalKind::interrupt())?;
+    let mut terminate = signal_stream(SignalKind::terminate())?;
+    let mut interrupt = signal_stream(SignalKind::interrupt())?;
     let running = daemon::start(settings).await?;
-    let fellow = running.peer.map(|address| format!(" fellow={address}"));
+    let peer = running.peer.map(|address| format!(" fellow={address}"));
     println!(
         "listening caller={} operator={}{}",
         running.caller,
         running.operator,
-        fellow.unwrap_or_default()
+        peer.unwrap_or_default()
     );
     let mut task = running.task;
     tokio::select! {
@@ -37,21 +37,21 @@
     if running.drain.send(()).is_err() {
         return Ok(());
     }
-    // A second signal ends the process at once: an operator who repeats it means it.
+    // A second signal stops the process without waiting for requests in progress.
     tokio::select! {
-      _ = terminate.recv() => log::warn!("stopped before the last request ended"),
-      _ = interrupt.recv() => log::warn!("stopped before the last request ended"),
+      _ = terminate.recv() => log::warn!("second signal received: stopping with requests in progress"),
+      _ = interrupt.recv() => log::warn!("second signal received: stopping with requests in progress"),
       _ = task => {}
     }
     Ok(())
 }
 
-fn watch(kind: SignalKind) -> Result<tokio::signal::unix::Signal, Error> {
+fn signal_stream(kind: SignalKind) -> Result<tokio::signal::unix::Signal, Error> {
     signal(kind).map_err(|error| Error::Io("signals".to_string(), error))
 }
 
-/// Structured log lines on standard error, `level` and above unless `RUST_LOG` says otherwise.
-pub fn logs(level: &str) {
+/// Starts structured logging to standard error, at `level` unless `RUST_LOG` is set.
+pub fn init_logging(level: &str) {
     let environment = env_logger::Env::default().default_filter_or(level);
     env_logger::Builder::from_env(environment)
         .format_timestamp_micros()
--- a/crates/carawayhead/src/command/show.rs
+++ b/crates/carawayhead/src/command/show.rs
@@ -1,4 +1,4 @@
-//! Tables of what is published and of what instances do.
+//! Prints published records and the status of instances.
 
 use {
     super::publish::replay,
@@ -9,11 +9,11 @@
     streamlog::stream::Stream,
 };
 
-/// Prints the items in force; one item as a record ready to be edited.
+/// Prints the items in force, or one item as a record that can be edited.
 ///
 /// # Errors
 ///
-/// The log cannot be asked, or the item does not exist.
+/// Returns an error if the log cannot be read or the item does not exist.
 pub async fn items(stream: &Stream, name: Option<&str>, as_json: bool) -> Result<(), Error> {
     let config = replay(stream).await?.config;
     if let Some(name) = name {
@@ -35,19 +35,19 @@
     Ok(())
 }
 
-/// Prints every record with what it came to.
+/// Prints every record and its result.
 ///
 /// # Errors
 ///
-/// The log cannot be asked.
+/// Returns an error if the log cannot be read.
 pub async fn history(stream: &Stream, as_json: bool) -> Result<(), Error> {
-    let lines = replay(stream).await?.lines;
+    let records = replay(stream).await?.records;
     if !as_json {
         println!("{:>8} {:>14} RESULT", "OFFSET", "TIME");
     }
-    for line in lines {
-        let (offset, at) = (line.entry.offset, line.entry.at.0);
-        let result = describe(&line.applied);
+    for record in records {
+        let (offset, at) = (record.entry.offset, record.entry.at.0);
+        let result = result_text(&record.applied);
         if as_json {
             println!(
                 "{}",
@@ -60,11 +60,11 @@
     Ok(())
 }
 
-/// Prints the state of instances, asked at their operator addresses.
+/// Prints the status of instances, queried at their operator addresses.
 ///
 /// # Errors
 ///
-/// No instance answered.
+/// Returns an error if no instance answered.
 pub async fn status(addresses: &[String], as_json: bool) -> Result<(), Error> {
     let client = Client::new(Duration::from_secs(1));
     if !as_json {
@@ -75,7 +75,7 @@
     }
     let mut answered = false;
     for address in addresses {
-        match ask(&client, address).await {
+        match fetch_status(&client, address).await {
             Ok(status) => {
                 answered = true;
                 print_status(&status, as_json);
@@ -89,7 +89,7 @@
     Err(Error::Missing("no instance answered".to_string()))
 }
 
-async fn ask(client: &Client, address: &str) -> Result<Value, streamlog::Error> {
+async fn fetch_status(client: &Client, address: &str) -> Result<Value, streamlog::Error> {
     let request = Request::get("/status")
         .header("host", address)
         .body(Full::default())?;
@@ -117,7 +117,7 @@
     );
 }
 
-fn describe(applied: &Applied) -> String {
+fn result_text(applied: &Applied) -> String {
     match applied {
         Applied::Beaten {
             item,
