--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -165,7 +165,7 @@
             match link.exchange(to, &hello).await {
                 Ok(answer) => {
                     lock(&timeline).receive(clock.wall(), answer.hello.stamp);
-                    tell(&events, Event::Heard(received(asked, answer))).await;
+                    tell(&events, Event::Heard(peer_update(asked, answer))).await;
                 }
                 Err(error) => log::debug!(address:% = to, error:%; "gossip exchange failed"),
             }
@@ -304,7 +304,7 @@
 /// Maximum length of an outcome in the time line, in characters.
 const MAX_DETAIL_CHARS: usize = 160;
 
-fn received(asked: Time, answer: Answer) -> Heard {
+fn peer_update(asked: Time, answer: Answer) -> Heard {
     let lines = answer.lines.into_iter();
     Heard {
         asked,
@@ -313,7 +313,7 @@
             next: answer.hello.next,
         },
         lines: lines
-            .map(|line| tail::config_line(line.offset, &Bytes::from(line.data)))
+            .map(|line| tail::config_record(line.offset, &Bytes::from(line.data)))
             .collect(),
         snapshot: answer.snapshot,
     }
--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -41,7 +41,7 @@
             next = entry.offset + 1;
             tell(
                 &events,
-                Event::Configured(config_line(entry.offset, &entry.data)),
+                Event::Configured(config_record(entry.offset, &entry.data)),
             )
             .await;
         }
@@ -142,7 +142,7 @@
 
 /// Decodes a configuration record and keeps its data.
 #[must_use]
-pub fn config_line(offset: u64, data: &Bytes) -> Line {
+pub fn config_record(offset: u64, data: &Bytes) -> Line {
     Line {
         data: data.clone(),
         offset,
