--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -15,7 +15,7 @@
 /// Any method on `/services/{service}/{**rest}`.
 #[salvo::handler]
 pub async fn call(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    let Ok(gate) = depot.get_typed::<Gate>().cloned() else {
+    let Ok(gate) = depot.get_typed::<HandlerState>().cloned() else {
         return;
     };
     if let Err(error) = answer(&gate, request, response).await {
@@ -23,20 +23,24 @@
     }
 }
 
-async fn answer(gate: &Gate, request: &mut Request, response: &mut Response) -> Result<(), Error> {
+async fn answer(
+    gate: &HandlerState,
+    request: &mut Request,
+    response: &mut Response,
+) -> Result<(), Error> {
     let credential = credential(request.headers())?;
     let wait = wait(request.headers())?;
     let service = request.param::<String>("service").unwrap_or_default();
     let payload = payload(gate, request).await?;
     let order = order(&payload)?;
-    let ask = Ask::Call {
+    let ask = RequestKind::Call {
         order,
         payload,
         service,
     };
     let mut pieces = gate.submit(ask, credential, wait, response).await?;
     while let Some(piece) = pieces.recv().await {
-        if let Piece::End(outcome) = piece {
+        if let ResponseEvent::End(outcome) = piece {
             finish(outcome, response);
             return Ok(());
         }
@@ -55,8 +59,8 @@
     }
 }
 
-async fn payload(gate: &Gate, request: &mut Request) -> Result<Payload, Error> {
-    let body = body(gate.body_limit, request).await?;
+async fn payload(gate: &HandlerState, request: &mut Request) -> Result<Payload, Error> {
+    let body = body(gate.max_body_bytes, request).await?;
     let rest = request.param::<String>("rest").unwrap_or_default();
     let query = request
         .uri()
@@ -78,15 +82,15 @@
     };
     Ok(Payload {
         body,
-        key,
-        media: media.unwrap_or_default().to_string(),
+        idempotency_key: key,
+        content_type: media.unwrap_or_default().to_string(),
         method: request.method().clone(),
         path: format!("/{rest}{query}"),
     })
 }
 
 fn order(payload: &Payload) -> Result<Option<Order>, Error> {
-    let Some(key) = &payload.key else {
+    let Some(key) = &payload.idempotency_key else {
         return Ok(None);
     };
     let uuid = Uuid::parse_str(key)
--- a/crates/caller/src/events.rs
+++ b/crates/caller/src/events.rs
@@ -22,15 +22,15 @@
 #[derive(Debug)]
 pub struct Events {
     ended: bool,
-    pieces: Receiver<Piece>,
+    pieces: Receiver<ResponseEvent>,
     prefix: String,
-    ready: Vec<Piece>,
+    ready: Vec<ResponseEvent>,
 }
 
 impl Events {
     /// Begins with the piece that has already come.
     #[must_use]
-    pub fn new(prefix: String, first: Piece, pieces: Receiver<Piece>) -> Self {
+    pub fn new(prefix: String, first: ResponseEvent, pieces: Receiver<ResponseEvent>) -> Self {
         Self {
             ended: false,
             pieces,
@@ -43,12 +43,12 @@
         let mut part = BytesMut::with_capacity(self.ready.len() * 384);
         for piece in self.ready.drain(..) {
             match piece {
-                Piece::Begun(..) => {}
-                Piece::End(outcome) => {
+                ResponseEvent::Started(..) => {}
+                ResponseEvent::End(outcome) => {
                     self.ended = true;
                     end(&mut part, outcome);
                 }
-                Piece::Token(index, data) => {
+                ResponseEvent::Token(index, data) => {
                     part.extend_from_slice(b"id: ");
                     part.extend_from_slice(self.prefix.as_bytes());
                     number(&mut part, index);
@@ -76,8 +76,9 @@
                 Poll::Ready(0) => {
                     // The loop let go of the request without an end: it gave the caller up
                     // for reading too slowly, or it is stopping.
-                    this.ready
-                        .push(Piece::End(Outcome::MayHaveRun(MayHaveRun::ConnectionLost)));
+                    this.ready.push(ResponseEvent::End(Outcome::MayHaveRun(
+                        MayHaveRun::ConnectionLost,
+                    )));
                 }
                 Poll::Ready(_) => {}
             }
--- a/crates/caller/src/generation.rs
+++ b/crates/caller/src/generation.rs
@@ -53,7 +53,7 @@
     response: &mut Response,
     path: &'static str,
 ) {
-    let Ok(gate) = depot.get_typed::<Gate>().cloned() else {
+    let Ok(gate) = depot.get_typed::<HandlerState>().cloned() else {
         return;
     };
     if let Err(error) = begin(&gate, request, response, path).await {
@@ -62,7 +62,7 @@
 }
 
 async fn begin(
-    gate: &Gate,
+    gate: &HandlerState,
     request: &mut Request,
     response: &mut Response,
     path: &'static str,
@@ -71,7 +71,7 @@
     let wait = wait(request.headers())?;
     let (ask, form) = match last_event(gate, &credential, request.headers())? {
         Some(handle) => (
-            Ask::Resume {
+            RequestKind::Resume {
                 endpoint: handle.endpoint,
                 generation: handle.generation,
                 next: handle.index + 1,
@@ -95,19 +95,19 @@
 
 /// Streams the answer once its first token is there; until then it may be refused.
 async fn stream(
-    gate: &Gate,
+    gate: &HandlerState,
     credential: &[u8; 32],
-    mut pieces: Receiver<Piece>,
+    mut pieces: Receiver<ResponseEvent>,
     response: &mut Response,
 ) {
     let mut prefix = String::new();
     loop {
         match pieces.recv().await {
             None => return Problem::from(MayHaveRun::ConnectionLost).write_openai(response),
-            Some(Piece::Begun(endpoint, generation)) => {
-                prefix = Handle::prefix(&gate.secret, credential, &endpoint, generation);
+            Some(ResponseEvent::Started(endpoint, generation)) => {
+                prefix = Handle::prefix(&gate.handle_secret, credential, &endpoint, generation);
             }
-            Some(Piece::End(outcome)) if !matches!(outcome, Outcome::Answered(None)) => {
+            Some(ResponseEvent::End(outcome)) if !matches!(outcome, Outcome::Answered(None)) => {
                 return finish(outcome, response);
             }
             Some(first) => {
@@ -120,18 +120,18 @@
     }
 }
 
-async fn whole(pieces: &mut Receiver<Piece>, form: &Form, response: &mut Response) {
+async fn whole(pieces: &mut Receiver<ResponseEvent>, form: &Form, response: &mut Response) {
     let mut collect = Collect::default();
     while let Some(piece) = pieces.recv().await {
         match piece {
-            Piece::Begun(..) => {}
-            Piece::End(Outcome::Answered(None)) => {
+            ResponseEvent::Started(..) => {}
+            ResponseEvent::End(Outcome::Answered(None)) => {
                 set(response, "content-type", "application/json");
                 response.body(collect.answer(form.chat, form.prompt).to_string());
                 return;
             }
-            Piece::End(outcome) => return finish(outcome, response),
-            Piece::Token(_, data) => {
+            ResponseEvent::End(outcome) => return finish(outcome, response),
+            ResponseEvent::Token(_, data) => {
                 if let Err(error) = collect.take(&data) {
                     log::warn!(error:%; "engine sent a token that is not JSON");
                 }
@@ -160,7 +160,7 @@
     response.body(answer.body);
 }
 
-fn ask(body: &[u8], path: &'static str) -> Result<(Ask, Form), Error> {
+fn ask(body: &[u8], path: &'static str) -> Result<(RequestKind, Form), Error> {
     let body = serde_json::from_slice::<Map<String, Value>>(body)
         .map_err(|error| Error::Json(error.to_string()))?;
     let model = match body.get("model") {
@@ -175,7 +175,7 @@
     let chat = path == CHAT;
     let prompt = prompt(&body, chat)?;
     let limit = limit(&body)?;
-    let ask = Ask::Generation {
+    let ask = RequestKind::Generation {
         body,
         limit,
         model,
@@ -225,8 +225,8 @@
     }
 }
 
-async fn read(gate: &Gate, request: &mut Request) -> Result<Bytes, Error> {
-    body(gate.body_limit, request).await
+async fn read(gate: &HandlerState, request: &mut Request) -> Result<Bytes, Error> {
+    body(gate.max_body_bytes, request).await
 }
 
 /// Reads a request body of at most `most` bytes.
@@ -268,7 +268,7 @@
 }
 
 fn last_event(
-    gate: &Gate,
+    gate: &HandlerState,
     credential: &[u8; 32],
     headers: &HeaderMap,
 ) -> Result<Option<Handle>, Error> {
@@ -276,7 +276,7 @@
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
-    match Handle::parse(&gate.secret, credential, text) {
+    match Handle::parse(&gate.handle_secret, credential, text) {
         Some(handle) => Ok(Some(handle)),
         None => Err(Error::Header(
             "last-event-id",
--- a/crates/caller/src/inbound.rs
+++ b/crates/caller/src/inbound.rs
@@ -7,22 +7,22 @@
 
 /// A request with the way back to its caller.
 #[derive(Debug)]
-pub struct Inbound {
+pub struct InboundRequest {
     /// What is asked for.
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// BLAKE3 hash of the caller's key.
     pub credential: [u8; 32],
     /// Request id, for log lines.
     pub id: Uuid,
     /// Where the pieces of the answer go; closed when the caller leaves.
-    pub outlet: Sender<Piece>,
+    pub event_sender: Sender<ResponseEvent>,
     /// How long the caller waits, if it said so.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// What is asked for, with what is to be sent on.
 #[derive(Debug)]
-pub enum Ask {
+pub enum RequestKind {
     /// A call of a plain service.
     Call {
         /// The order key, if the caller gave one.
@@ -62,9 +62,9 @@
     /// The body.
     pub body: Bytes,
     /// The idempotency key as the caller wrote it.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The `Content-Type`.
-    pub media: String,
+    pub content_type: String,
     /// The method.
     pub method: Method,
     /// Path and query at the service.
@@ -73,36 +73,36 @@
 
 /// A piece of an answer.
 #[derive(Debug)]
-pub enum Piece {
+pub enum ResponseEvent {
     /// The generation was given to an endpoint of this name.
-    Begun(String, generation::Id),
+    Started(String, generation::Id),
     /// The request is over.
     End(Outcome),
     /// A token with its index.
     Token(u32, Bytes),
 }
 
-impl Gate {
+impl HandlerState {
     /// Hands a request to the loop and returns where the pieces of its answer come.
     ///
     /// The request id goes into the response, so that callers and operators can name
     /// the request alike.
     pub(crate) async fn submit(
         &self,
-        ask: Ask,
+        kind: RequestKind,
         credential: [u8; 32],
-        wait: Option<Duration>,
+        timeout: Option<Duration>,
         response: &mut Response,
-    ) -> Result<Receiver<Piece>, Error> {
-        let (outlet, pieces) = mpsc::channel(self.buffer);
+    ) -> Result<Receiver<ResponseEvent>, Error> {
+        let (event_sender, pieces) = mpsc::channel(self.event_buffer_len);
         let id = Uuid::new_v4();
         set(response, "x-request-id", &id.to_string());
-        let inbound = Inbound {
-            ask,
+        let inbound = InboundRequest {
+            kind,
             credential,
             id,
-            outlet,
-            wait,
+            event_sender,
+            timeout,
         };
         match self.inbound.send(inbound).await {
             Ok(()) => Ok(pieces),
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -11,4 +11,4 @@
 pub mod problem;
 pub mod server;
 
-pub use {error::Error, inbound::Inbound, server::Gate};
+pub use {error::Error, inbound::InboundRequest, server::HandlerState};
--- a/crates/caller/src/prelude.rs
+++ b/crates/caller/src/prelude.rs
@@ -5,9 +5,9 @@
         error::Error,
         events::Events,
         handle::Handle,
-        inbound::{Ask, Inbound, Payload, Piece},
+        inbound::{InboundRequest, Payload, RequestKind, ResponseEvent},
         problem::Problem,
-        server::Gate,
+        server::HandlerState,
     },
     bytes::Bytes,
     decision::{
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -26,17 +26,17 @@
 
 /// What every handler needs.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct HandlerState {
     /// Largest request body, in bytes.
-    pub body_limit: usize,
+    pub max_body_bytes: usize,
     /// Pieces kept for a caller who reads slowly.
-    pub buffer: usize,
+    pub event_buffer_len: usize,
     /// Requests for the loop.
-    pub inbound: Sender<Inbound>,
+    pub inbound: Sender<InboundRequest>,
     /// Whether the balancer may send requests here.
     pub ready: Arc<AtomicBool>,
     /// Signs resume handles.
-    pub secret: [u8; 32],
+    pub handle_secret: [u8; 32],
 }
 
 /// PEM texts of the certificate and its key.
@@ -64,7 +64,11 @@
 /// # Errors
 ///
 /// The address cannot be bound, or the certificate cannot be used.
-pub async fn listen(gate: Gate, listen: &str, pem: Option<Pem>) -> Result<Running, salvo::Error> {
+pub async fn listen(
+    gate: HandlerState,
+    listen: &str,
+    pem: Option<Pem>,
+) -> Result<Running, salvo::Error> {
     let router = router(gate);
     let listener = TcpListener::new(listen.to_string());
     match pem {
@@ -77,7 +81,7 @@
     }
 }
 
-fn router(gate: Gate) -> Router {
+fn router(gate: HandlerState) -> Router {
     Router::new()
         .hoop(salvo::affix_state::inject(gate))
         .push(Router::with_path("healthz").get(healthz))
@@ -123,7 +127,7 @@
 #[salvo::handler]
 async fn readyz(depot: &mut Depot, response: &mut Response) {
     let ready = depot
-        .get_typed::<Gate>()
+        .get_typed::<HandlerState>()
         .is_ok_and(|gate| gate.ready.load(Ordering::Relaxed));
     if ready {
         response.body("ready\n");
--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -10,11 +10,11 @@
     http::{Request, header},
     http_body_util::Full,
     standin::{
-        decode::Shape,
+        decode::EngineProfile,
         engine::{Engine, Settings as EngineSettings},
         list::{List, Row},
         log::Log,
-        service::Desk,
+        service::PlainService,
     },
     std::io::Write as _,
 };
@@ -88,7 +88,7 @@
         .listen("127.0.0.1:0")
         .await;
     let log = Log::new(1).listen("127.0.0.1:0").await;
-    let desk = Desk::default().listen("127.0.0.1:0").await;
+    let desk = PlainService::default().listen("127.0.0.1:0").await;
     let mut demo = Demo {
         client: Client::new(Duration::from_secs(1)),
         desk: address(desk)?,
@@ -105,9 +105,9 @@
             checks_fencing: true,
             lag: Duration::from_millis(50),
             models: vec!["survey-1".to_string()],
-            shape: Shape {
+            profile: EngineProfile {
                 step_base: 15_000,
-                ..Shape::default()
+                ..EngineProfile::default()
             },
         });
         let engine = address(engine.listen("127.0.0.1:0").await)?;
--- a/crates/carawayhead/src/daemon/exchange.rs
+++ b/crates/carawayhead/src/daemon/exchange.rs
@@ -6,11 +6,11 @@
 #[derive(Debug)]
 pub struct Exchange {
     /// What is to be sent.
-    pub ask: Ask,
+    pub ask: RequestKind,
     /// Request id of the log lines.
     pub id: Uuid,
     /// Where pieces of the answer go.
-    pub outlet: Sender<Piece>,
+    pub outlet: Sender<ResponseEvent>,
     /// The connection to the endpoint that serves it now.
     task: Option<AbortHandle>,
 }
@@ -18,7 +18,7 @@
 impl Exchange {
     /// An exchange that has not been sent.
     #[must_use]
-    pub const fn new(ask: Ask, id: Uuid, outlet: Sender<Piece>) -> Self {
+    pub const fn new(ask: RequestKind, id: Uuid, outlet: Sender<ResponseEvent>) -> Self {
         Self {
             ask,
             id,
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -11,7 +11,7 @@
     },
     crate::prelude::*,
     caller::{
-        Gate,
+        HandlerState,
         server::{self, Pem},
     },
     fellow::{Asked, Hello, Link},
@@ -72,7 +72,7 @@
     pub(super) events: Sender<Event>,
     pub(super) exchanges: SecondaryMap<request::Key, Exchange>,
     inbox: Receiver<Event>,
-    inbound: Receiver<Inbound>,
+    inbound: Receiver<InboundRequest>,
     pub(super) link: Option<Link>,
     longest_turn: Duration,
     ready: Arc<AtomicBool>,
@@ -93,14 +93,14 @@
     let client = Client::new(CONNECT);
     let ready = Arc::new(AtomicBool::new(false));
     let shared = Shared::default();
-    let gate = Gate {
-        body_limit: settings.caller.body_limit,
-        buffer: settings.caller.buffer,
+    let handler_state = HandlerState {
+        max_body_bytes: settings.caller.body_limit,
+        event_buffer_len: settings.caller.buffer,
         inbound: sender,
         ready: Arc::clone(&ready),
-        secret: settings.caller.handle_secret,
+        handle_secret: settings.caller.handle_secret,
     };
-    let listener = server::listen(gate, &settings.caller.listen, pem(&settings)?)
+    let listener = server::listen(handler_state, &settings.caller.listen, pem(&settings)?)
         .await
         .map_err(|error| Error::Listen(settings.caller.listen.clone(), error.to_string()))?;
     let timeline = Arc::new(Mutex::new(Timeline::default()));
@@ -319,16 +319,16 @@
         self.longest_turn = begun.elapsed();
     }
 
-    fn arrive(&mut self, inbound: Inbound) {
+    fn arrive(&mut self, inbound: InboundRequest) {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let wait = inbound
-            .wait
+            .timeout
             .unwrap_or(self.state.limits.deadline)
             .min(self.state.limits.deadline);
         let arrival = Arrival {
             credential: inbound.credential,
             deadline: now.after(wait),
-            work: self.work(&inbound.ask),
+            work: self.work(&inbound.kind),
         };
         self.note(Moment {
             what: "arrived".to_string(),
@@ -337,8 +337,10 @@
             ..Moment::default()
         });
         let key = self.state.arrive(now, wall, arrival, &mut self.actions);
-        self.exchanges
-            .insert(key, Exchange::new(inbound.ask, inbound.id, inbound.outlet));
+        self.exchanges.insert(
+            key,
+            Exchange::new(inbound.kind, inbound.id, inbound.event_sender),
+        );
         self.perform();
         self.state.flush(now, &mut self.actions);
         self.perform();
@@ -395,9 +397,9 @@
         }
     }
 
-    fn work(&self, ask: &Ask) -> Work {
+    fn work(&self, ask: &RequestKind) -> Work {
         match ask {
-            Ask::Call {
+            RequestKind::Call {
                 order,
                 payload,
                 service,
@@ -406,7 +408,7 @@
                 order: *order,
                 service: service.clone(),
             },
-            Ask::Generation {
+            RequestKind::Generation {
                 limit,
                 model,
                 prompt,
@@ -416,7 +418,7 @@
                 model: model.clone(),
                 prompt: *prompt,
             },
-            Ask::Resume {
+            RequestKind::Resume {
                 endpoint,
                 generation,
                 next,
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -41,7 +41,7 @@
                     let sent = self
                         .exchanges
                         .get(key)
-                        .map(|to| to.outlet.try_send(Piece::Token(index, data)));
+                        .map(|to| to.outlet.try_send(ResponseEvent::Token(index, data)));
                     if let Some(Err(error)) = sent {
                         gone.push((key, error));
                     }
@@ -82,7 +82,7 @@
     /// Its connection is closed after what is buffered; the generation is kept for
     /// the grace time, and the caller may come back with `Last-Event-ID`. Waiting
     /// instead would hold memory for as long as the caller likes.
-    fn drop_caller(&mut self, key: request::Key, error: &mpsc::error::TrySendError<Piece>) {
+    fn drop_caller(&mut self, key: request::Key, error: &mpsc::error::TrySendError<ResponseEvent>) {
         if let Some(exchange) = self.exchanges.get_mut(key) {
             if matches!(error, mpsc::error::TrySendError::Full(_)) {
                 log::warn!(request:% = exchange.id; "caller reads too slowly and is let go");
@@ -138,7 +138,7 @@
             ..Moment::default()
         });
         if let Err(mpsc::error::TrySendError::Full(piece)) =
-            exchange.outlet.try_send(Piece::End(outcome))
+            exchange.outlet.try_send(ResponseEvent::End(outcome))
         {
             // The buffer is full of tokens that the caller has yet to read; the end
             // must follow them, or a whole answer would look cut.
@@ -228,20 +228,20 @@
             return;
         };
         let task = match &mut exchange.ask {
-            Ask::Call { payload, .. } => {
+            RequestKind::Call { payload, .. } => {
                 let call = service::Call {
                     attempt,
                     body: payload.body.clone(),
                     idempotent,
-                    key: payload.key.clone(),
-                    media: payload.media.clone(),
+                    key: payload.idempotency_key.clone(),
+                    media: payload.content_type.clone(),
                     method: payload.method.clone(),
                     path: payload.path.clone(),
                     wait,
                 };
                 tokio::spawn(service::call(client, address, call, events))
             }
-            Ask::Generation { body, path, .. } => {
+            RequestKind::Generation { body, path, .. } => {
                 body.insert("model".to_string(), json!(model));
                 body.insert("priority".to_string(), json!(priority));
                 body.insert("stream".to_string(), json!(true));
@@ -253,7 +253,7 @@
                 };
                 tokio::spawn(engine::start(client, address, start, events))
             }
-            Ask::Resume { .. } => return,
+            RequestKind::Resume { .. } => return,
         };
         exchange.attach(task.abort_handle());
     }
@@ -275,7 +275,7 @@
             detail: format!("as {}", attempt.generation),
             ..Moment::default()
         };
-        let piece = Piece::Begun(name, attempt.generation);
+        let piece = ResponseEvent::Started(name, attempt.generation);
         if exchange.outlet.try_send(piece).is_err() {
             log::debug!(request:% = exchange.id; "the caller left or reads slowly");
         }
--- a/crates/carawayhead/src/prelude.rs
+++ b/crates/carawayhead/src/prelude.rs
@@ -4,8 +4,8 @@
     crate::{clock::Clock, error::Error},
     bytes::Bytes,
     caller::{
-        Inbound,
-        inbound::{Ask, Payload, Piece},
+        InboundRequest,
+        inbound::{Payload, RequestKind, ResponseEvent},
     },
     decision::{
         endpoint as target, generation,
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        decode::Shape,
+        decode::EngineProfile,
         engine::{Engine, Settings},
         list::List,
         log::Log,
         prelude::*,
-        service::Desk,
+        service::PlainService,
     },
     bpaf::Bpaf,
     std::io,
@@ -104,20 +104,20 @@
             step_base,
             step_each,
         } => {
-            let shape = Shape {
+            let profile = EngineProfile {
                 batch,
                 capacity,
                 cold_for: Duration::from_millis(cold_ms),
                 cold_limit,
                 step_base,
                 step_each,
-                ..Shape::default()
+                ..EngineProfile::default()
             };
             let settings = Settings {
                 checks_fencing,
                 lag: Duration::from_millis(lag_ms),
                 models: model,
-                shape,
+                profile,
             };
             Engine::new(settings).listen(&listen).await
         }
@@ -127,6 +127,6 @@
                 .await
         }
         Command::Log { listen, seed } => Log::new(seed).listen(&listen).await,
-        Command::Service { listen } => Desk::default().listen(&listen).await,
+        Command::Service { listen } => PlainService::default().listen(&listen).await,
     }
 }
--- a/crates/standin/src/decode.rs
+++ b/crates/standin/src/decode.rs
@@ -8,7 +8,7 @@
 
 /// Sizes and times of an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct EngineProfile {
     /// Most generations in the batch.
     pub batch: usize,
     /// KV memory in tokens.
@@ -25,7 +25,7 @@
     pub cold_limit: usize,
 }
 
-impl Default for Shape {
+impl Default for EngineProfile {
     fn default() -> Self {
         Self {
             batch: 64,
@@ -95,7 +95,7 @@
     /// Tokens produced.
     pub tokens: u64,
     arrivals: u64,
-    shape: Shape,
+    profile: EngineProfile,
 }
 
 /// How long an ended generation can still be read.
@@ -104,13 +104,13 @@
 impl Batch {
     /// An empty batch.
     #[must_use]
-    pub const fn new(shape: Shape) -> Self {
+    pub const fn new(profile: EngineProfile) -> Self {
         Self {
             arrivals: 0,
             fell_over: 0,
             generations: Vec::new(),
             preemptions: 0,
-            shape,
+            profile,
             tokens: 0,
         }
     }
@@ -212,8 +212,9 @@
                 .ended
                 .is_none_or(|ended| now.duration_since(ended) < KEPT)
         });
-        let shape = &self.shape;
-        let micros = shape.step_base + shape.step_each * batch + shape.prefill_each * computed;
+        let profile = &self.profile;
+        let micros =
+            profile.step_base + profile.step_each * batch + profile.prefill_each * computed;
         Duration::from_micros(if cold { micros * 4 } else { micros })
     }
 
@@ -232,7 +233,7 @@
         for place in waiting {
             let generation = &mut self.generations[place];
             let need = generation.memory() + 1;
-            if running >= self.shape.batch || used + need > self.shape.capacity {
+            if running >= self.profile.batch || used + need > self.profile.capacity {
                 break;
             }
             generation.running = true;
@@ -255,7 +256,7 @@
                 .iter()
                 .filter(|generation| generation.running)
                 .count() as u64;
-            if running < 2 || self.used() + running <= self.shape.capacity {
+            if running < 2 || self.used() + running <= self.profile.capacity {
                 return;
             }
             let victim = self
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cache::Cache,
-        decode::{Batch, Progress, Shape},
+        decode::{Batch, EngineProfile, Progress},
         prelude::*,
     },
     std::{fmt::Write as _, io},
@@ -25,7 +25,7 @@
     /// Models that it serves, adapters included.
     pub models: Vec<String>,
     /// Sizes and times.
-    pub shape: Shape,
+    pub profile: EngineProfile,
 }
 
 /// Faults that can be set while it runs; absent fields stay as they are.
@@ -71,10 +71,10 @@
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let inner = Inner {
-            batch: Batch::new(settings.shape),
+            batch: Batch::new(settings.profile),
             cache: Cache::default(),
             fence: 0,
-            cold_until: now + settings.shape.cold_for,
+            cold_until: now + settings.profile.cold_for,
             down_until: now,
             highest_cold: 0,
             leaving: false,
@@ -156,7 +156,7 @@
         let (running, waiting) = self.batch.counts();
         let live = running + waiting + 1;
         self.highest_cold = self.highest_cold.max(live);
-        if live <= self.settings.shape.cold_limit {
+        if live <= self.settings.profile.cold_limit {
             return true;
         }
         self.batch.fall_over(now);
@@ -167,7 +167,7 @@
     fn load(&mut self, now: Instant) -> String {
         let (running, waiting) = self.batch.counts();
         let load = json!({
-          "capacity_tokens": self.settings.shape.capacity,
+          "capacity_tokens": self.settings.profile.capacity,
           "leaving": self.leaving,
           "models": self.settings.models,
           "running": running,
@@ -358,7 +358,7 @@
     let mut inner = engine.lock();
     let now = Instant::now();
     if new.cold == Some(true) {
-        inner.cold_until = now + inner.settings.shape.cold_for;
+        inner.cold_until = now + inner.settings.profile.cold_for;
         inner.started += 1;
     }
     if let Some(leaving) = new.leaving {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -26,7 +26,7 @@
 
 /// The service.
 #[derive(Clone, Debug, Default)]
-pub struct Desk {
+pub struct PlainService {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -36,7 +36,7 @@
     runs: Vec<Run>,
 }
 
-impl Desk {
+impl PlainService {
     /// Starts to serve it.
     ///
     /// # Errors
@@ -57,7 +57,7 @@
 /// Any call.
 #[handler]
 async fn call(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    let Ok(desk) = depot.get_typed::<Desk>().cloned() else {
+    let Ok(desk) = depot.get_typed::<PlainService>().cloned() else {
         return;
     };
     let key = request
@@ -100,7 +100,7 @@
 /// `GET /control`: every run.
 #[handler]
 async fn runs(depot: &mut Depot, response: &mut Response) {
-    let Ok(desk) = depot.get_typed::<Desk>().cloned() else {
+    let Ok(desk) = depot.get_typed::<PlainService>().cloned() else {
         return;
     };
     response.body(json!(desk.lock().runs).to_string());
@@ -109,7 +109,7 @@
 /// `POST /control`.
 #[handler]
 async fn set_control(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    let Ok(desk) = depot.get_typed::<Desk>().cloned() else {
+    let Ok(desk) = depot.get_typed::<PlainService>().cloned() else {
         return;
     };
     let Ok(new) = request.parse_json::<Control>().await else {
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -3,7 +3,7 @@
 use {
     standin::{
         cache::Cache,
-        decode::{Batch, Shape},
+        decode::{Batch, EngineProfile},
     },
     std::time::{Duration, Instant},
 };
@@ -31,9 +31,9 @@
 /// that came last is preempted, and still ends whole.
 #[test]
 fn a_full_engine_preempts_and_loses_nothing() {
-    let shape = Shape {
+    let shape = EngineProfile {
         capacity: 40,
-        ..Shape::default()
+        ..EngineProfile::default()
     };
     let mut batch = Batch::new(shape);
     let now = Instant::now();
