--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -1,109 +1,109 @@
-//! Calls of plain services.
+//! Handler for calls of plain services.
 
 use crate::{
-    generation::{body, credential, wait, write},
+    generation::{credential_hash, read_body, request_timeout, write_answer},
     prelude::*,
 };
 
-/// Header that names an order.
-const KEY: &str = "idempotency-key";
+/// Header with the idempotency key; a call that carries one is an order.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What is allowed as an order key.
-const KEY_ALLOWED: &str =
+/// Accepted format of the idempotency key.
+const IDEMPOTENCY_KEY_FORMAT: &str =
     "a UUID of version 7, whose time of birth tells how long repeats are known";
 
 /// Any method on `/services/{service}/{**rest}`.
 #[salvo::handler]
 pub async fn call(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    let Ok(gate) = depot.get_typed::<HandlerState>().cloned() else {
+    let Ok(state) = depot.get_typed::<HandlerState>().cloned() else {
         return;
     };
-    if let Err(error) = answer(&gate, request, response).await {
+    if let Err(error) = handle_call(&state, request, response).await {
         Problem::from(error).write_problem(response);
     }
 }
 
-async fn answer(
-    gate: &HandlerState,
+async fn handle_call(
+    state: &HandlerState,
     request: &mut Request,
     response: &mut Response,
 ) -> Result<(), Error> {
-    let credential = credential(request.headers())?;
-    let wait = wait(request.headers())?;
+    let credential = credential_hash(request.headers())?;
+    let timeout = request_timeout(request.headers())?;
     let service = request.param::<String>("service").unwrap_or_default();
-    let payload = payload(gate, request).await?;
-    let order = order(&payload)?;
-    let ask = RequestKind::Call {
+    let payload = read_payload(state, request).await?;
+    let order = parse_order(&payload)?;
+    let kind = RequestKind::Call {
         order,
         payload,
         service,
     };
-    let mut pieces = gate.submit(ask, credential, wait, response).await?;
-    while let Some(piece) = pieces.recv().await {
-        if let ResponseEvent::End(outcome) = piece {
-            finish(outcome, response);
+    let mut events = state.submit(kind, credential, timeout, response).await?;
+    while let Some(event) = events.recv().await {
+        if let ResponseEvent::End(outcome) = event {
+            write_outcome(outcome, response);
             return Ok(());
         }
     }
-    // The loop let go of the request; it may have been sent before.
+    // The event loop dropped the request, which may already have been sent to the service.
     Problem::from(MayHaveRun::ConnectionLost).write_problem(response);
     Ok(())
 }
 
-fn finish(outcome: Outcome, response: &mut Response) {
+fn write_outcome(outcome: Outcome, response: &mut Response) {
     match outcome {
         Outcome::Answered(None) => {}
-        Outcome::Answered(Some(answer)) => write(answer, response),
-        Outcome::MayHaveRun(why) => Problem::from(why).write_problem(response),
+        Outcome::Answered(Some(answer)) => write_answer(answer, response),
+        Outcome::MayHaveRun(reason) => Problem::from(reason).write_problem(response),
         Outcome::NotRun(refused) => Problem::from(refused).write_problem(response),
     }
 }
 
-async fn payload(gate: &HandlerState, request: &mut Request) -> Result<Payload, Error> {
-    let body = body(gate.max_body_bytes, request).await?;
+async fn read_payload(state: &HandlerState, request: &mut Request) -> Result<Payload, Error> {
+    let body = read_body(state.max_body_bytes, request).await?;
     let rest = request.param::<String>("rest").unwrap_or_default();
     let query = request
         .uri()
         .query()
         .map(|query| format!("?{query}"))
         .unwrap_or_default();
-    let media = request
+    let content_type = request
         .headers()
         .get("content-type")
         .and_then(|value| value.to_str().ok());
-    let key = match request.headers().get(KEY) {
+    let key = match request.headers().get(IDEMPOTENCY_KEY) {
         None => None,
         Some(value) => {
             let text = value
                 .to_str()
-                .map_err(|_invisible| Error::Header(KEY, KEY_ALLOWED))?;
+                .map_err(|_not_ascii| Error::Header(IDEMPOTENCY_KEY, IDEMPOTENCY_KEY_FORMAT))?;
             Some(text.trim().trim_matches('"').to_string())
         }
     };
     Ok(Payload {
         body,
         idempotency_key: key,
-        content_type: media.unwrap_or_default().to_string(),
+        content_type: content_type.unwrap_or_default().to_string(),
         method: request.method().clone(),
         path: format!("/{rest}{query}"),
     })
 }
 
-fn order(payload: &Payload) -> Result<Option<Order>, Error> {
+fn parse_order(payload: &Payload) -> Result<Option<Order>, Error> {
     let Some(key) = &payload.idempotency_key else {
         return Ok(None);
     };
     let uuid = Uuid::parse_str(key)
         .ok()
         .filter(|uuid| uuid.get_version_num() == 7);
-    let uuid = uuid.ok_or(Error::Header(KEY, KEY_ALLOWED))?;
+    let uuid = uuid.ok_or(Error::Header(IDEMPOTENCY_KEY, IDEMPOTENCY_KEY_FORMAT))?;
     Ok(Some(Order {
         body: digest(payload),
         uuid: uuid.as_u128(),
     }))
 }
 
-/// Digest of everything that makes two orders the same.
+/// Digest of method, path and body, to detect a key that is reused for another request.
 fn digest(payload: &Payload) -> u128 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(payload.method.as_str().as_bytes());
--- a/crates/caller/src/collect.rs
+++ b/crates/caller/src/completion.rs
@@ -1,23 +1,23 @@
-//! Whole answers put together from the tokens of a generation.
+//! Builds the response of a generation that is not streamed.
 
 use crate::prelude::*;
 
-/// Collects the tokens of a generation into one answer of the OpenAI shape.
+/// Aggregates the tokens of a generation into one OpenAI response object.
 #[derive(Debug, Default)]
-pub struct Collect {
-    finish: Value,
-    frame: Map<String, Value>,
+pub struct CompletionBuilder {
+    finish_reason: Value,
+    envelope: Map<String, Value>,
     text: String,
     tokens: u32,
 }
 
-impl Collect {
-    /// Takes one token in.
+impl CompletionBuilder {
+    /// Appends one token event of the engine.
     ///
     /// # Errors
     ///
-    /// The engine's data is not a JSON object.
-    pub fn take(&mut self, data: &[u8]) -> Result<(), serde_json::Error> {
+    /// `data` is not a JSON object.
+    pub fn push_token(&mut self, data: &[u8]) -> Result<(), serde_json::Error> {
         let mut token = serde_json::from_slice::<Map<String, Value>>(data)?;
         self.tokens += 1;
         if let Some(choice) = token.get("choices").and_then(|choices| choices.get(0)) {
@@ -26,36 +26,36 @@
                 .or_else(|| choice.get("delta")?.get("content"));
             self.text
                 .push_str(text.and_then(Value::as_str).unwrap_or_default());
-            if let Some(finish) = choice
+            if let Some(reason) = choice
                 .get("finish_reason")
-                .filter(|finish| !finish.is_null())
+                .filter(|reason| !reason.is_null())
             {
-                self.finish = finish.clone();
+                self.finish_reason = reason.clone();
             }
         }
         token.remove("choices");
-        self.frame = token;
+        self.envelope = token;
         Ok(())
     }
 
-    /// The whole answer.
+    /// Returns the response object; `prompt` is the prompt length in tokens.
     #[must_use]
-    pub fn answer(mut self, chat: bool, prompt: u32) -> Value {
+    pub fn build(mut self, chat: bool, prompt: u32) -> Value {
         let (object, choice) = if chat {
             let message = json!({"role": "assistant", "content": self.text});
             (
                 "chat.completion",
-                json!({"index": 0, "message": message, "finish_reason": self.finish}),
+                json!({"index": 0, "message": message, "finish_reason": self.finish_reason}),
             )
         } else {
             (
                 "text_completion",
-                json!({"index": 0, "text": self.text, "finish_reason": self.finish}),
+                json!({"index": 0, "text": self.text, "finish_reason": self.finish_reason}),
             )
         };
-        self.frame.insert("object".to_string(), json!(object));
-        self.frame.insert("choices".to_string(), json!([choice]));
-        self.frame.insert(
+        self.envelope.insert("object".to_string(), json!(object));
+        self.envelope.insert("choices".to_string(), json!([choice]));
+        self.envelope.insert(
             "usage".to_string(),
             json!({
               "prompt_tokens": prompt,
@@ -63,6 +63,6 @@
               "total_tokens": prompt + self.tokens,
             }),
         );
-        Value::Object(self.frame)
+        Value::Object(self.envelope)
     }
 }
--- a/crates/caller/src/error.rs
+++ b/crates/caller/src/error.rs
@@ -1,30 +1,30 @@
-//! Faults of requests.
+//! Request validation errors.
 
 use crate::prelude::*;
 
-/// What is wrong with a request, found before anything was decided about it.
+/// Why a request was rejected before it reached the event loop.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// The body is larger than the bound, in bytes.
+    /// The body exceeds the limit, in bytes.
     BodyTooLarge(usize),
-    /// The body did not arrive whole.
+    /// The body could not be read completely.
     BodyUnread(String),
-    /// A header cannot be read: its name and what is allowed.
+    /// A header is invalid: its name and the accepted format.
     Header(&'static str, &'static str),
     /// The body is not a JSON object.
     Json(String),
-    /// A field is missing or of the wrong kind: its name and what is allowed.
+    /// A field is missing or has the wrong type: its name and the accepted format.
     Field(&'static str, &'static str),
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Stopping,
-    /// There is no credential.
+    /// The request carries no bearer key.
     Unauthorized,
 }
 
 impl Display for Error {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
-            Self::BodyTooLarge(most) => write!(f, "the body is larger than {most} bytes"),
+            Self::BodyTooLarge(max_bytes) => write!(f, "the body is larger than {max_bytes} bytes"),
             Self::BodyUnread(error) => write!(f, "the body did not arrive whole: {error}"),
             Self::Field(name, allowed) => write!(f, "field '{name}' must be {allowed}"),
             Self::Header(name, allowed) => write!(f, "header '{name}' must be {allowed}"),
@@ -38,7 +38,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// The HTTP status for it.
+    /// Returns the HTTP status.
     #[must_use]
     pub const fn status(&self) -> StatusCode {
         match self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A stable name for programs.
+    /// Returns the stable, machine-readable error code.
     #[must_use]
     pub const fn code(&self) -> &'static str {
         match self {
--- a/crates/caller/src/events.rs
+++ b/crates/caller/src/events.rs
@@ -1,4 +1,4 @@
-//! The body of a streamed answer.
+//! Response body of a streamed generation.
 
 use {
     crate::prelude::*,
@@ -12,57 +12,57 @@
     },
 };
 
-/// Most pieces put into one part of the body.
-const MOST_PIECES: usize = 64;
+/// Maximum number of events rendered into one body chunk.
+const MAX_EVENTS_PER_CHUNK: usize = 64;
 
-/// Server-sent events made from the pieces of an answer.
+/// Renders response events as server-sent events.
 ///
-/// All pieces that are ready go into one part, so that a busy instance makes
-/// fewer writes, not more.
+/// All events that are ready go into one chunk, which keeps the number of writes low under
+/// load.
 #[derive(Debug)]
-pub struct Events {
+pub struct EventStream {
     ended: bool,
-    pieces: Receiver<ResponseEvent>,
+    events: Receiver<ResponseEvent>,
     prefix: String,
     ready: Vec<ResponseEvent>,
 }
 
-impl Events {
-    /// Begins with the piece that has already come.
+impl EventStream {
+    /// Creates a stream that starts with `first`, which has already been received.
     #[must_use]
-    pub fn new(prefix: String, first: ResponseEvent, pieces: Receiver<ResponseEvent>) -> Self {
+    pub fn new(prefix: String, first: ResponseEvent, events: Receiver<ResponseEvent>) -> Self {
         Self {
             ended: false,
-            pieces,
+            events,
             prefix,
             ready: vec![first],
         }
     }
 
     fn render(&mut self) -> Bytes {
-        let mut part = BytesMut::with_capacity(self.ready.len() * 384);
-        for piece in self.ready.drain(..) {
-            match piece {
+        let mut chunk = BytesMut::with_capacity(self.ready.len() * 384);
+        for event in self.ready.drain(..) {
+            match event {
                 ResponseEvent::Started(..) => {}
                 ResponseEvent::End(outcome) => {
                     self.ended = true;
-                    end(&mut part, outcome);
+                    write_end(&mut chunk, outcome);
                 }
                 ResponseEvent::Token(index, data) => {
-                    part.extend_from_slice(b"id: ");
-                    part.extend_from_slice(self.prefix.as_bytes());
-                    number(&mut part, index);
-                    part.extend_from_slice(b"\ndata: ");
-                    part.extend_from_slice(&data);
-                    part.extend_from_slice(b"\n\n");
+                    chunk.extend_from_slice(b"id: ");
+                    chunk.extend_from_slice(self.prefix.as_bytes());
+                    write_decimal(&mut chunk, index);
+                    chunk.extend_from_slice(b"\ndata: ");
+                    chunk.extend_from_slice(&data);
+                    chunk.extend_from_slice(b"\n\n");
                 }
             }
         }
-        part.freeze()
+        chunk.freeze()
     }
 }
 
-impl Stream for Events {
+impl Stream for EventStream {
     type Item = Result<Bytes, Infallible>;
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Self::Item>> {
@@ -71,11 +71,14 @@
             return Poll::Ready(None);
         }
         if this.ready.is_empty() {
-            match this.pieces.poll_recv_many(cx, &mut this.ready, MOST_PIECES) {
+            match this
+                .events
+                .poll_recv_many(cx, &mut this.ready, MAX_EVENTS_PER_CHUNK)
+            {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(0) => {
-                    // The loop let go of the request without an end: it gave the caller up
-                    // for reading too slowly, or it is stopping.
+                    // The event loop dropped the request without an end event: the caller read
+                    // too slowly, or the instance is shutting down.
                     this.ready.push(ResponseEvent::End(Outcome::MayHaveRun(
                         MayHaveRun::ConnectionLost,
                     )));
@@ -87,23 +90,23 @@
     }
 }
 
-fn end(part: &mut BytesMut, outcome: Outcome) {
+fn write_end(chunk: &mut BytesMut, outcome: Outcome) {
     let problem = match outcome {
         Outcome::Answered(_) => {
-            part.extend_from_slice(b"data: [DONE]\n\n");
+            chunk.extend_from_slice(b"data: [DONE]\n\n");
             return;
         }
-        Outcome::MayHaveRun(why) => Problem::from(why),
+        Outcome::MayHaveRun(reason) => Problem::from(reason),
         Outcome::NotRun(refused) => Problem::from(refused),
     };
     let text = format!("event: error\ndata: {}\n\n", problem.openai());
-    part.extend_from_slice(text.as_bytes());
+    chunk.extend_from_slice(text.as_bytes());
 }
 
-fn number(part: &mut BytesMut, number: u32) {
+fn write_decimal(chunk: &mut BytesMut, number: u32) {
     let mut digits = [0; 10];
     let mut rest = &mut digits[..];
-    write!(rest, "{number}").expect("ten digits hold every u32");
+    write!(rest, "{number}").expect("a u32 has at most ten digits");
     let unused = rest.len();
-    part.extend_from_slice(&digits[..digits.len() - unused]);
+    chunk.extend_from_slice(&digits[..digits.len() - unused]);
 }
--- a/crates/caller/src/handle.rs
+++ b/crates/caller/src/handle.rs
@@ -1,22 +1,22 @@
-//! Resume handles: a caller's place in a stream, kept by the caller.
+//! Resume handles: a caller's position in a stream, kept by the caller.
 //!
-//! An instance can die with a caller's stream. The handle in each event id says
-//! where the generation runs and how far the caller has read, so any instance can
-//! take it up without shared state. It is signed and bound to the caller's key,
-//! since it would otherwise open other callers' generations.
+//! The handle in each event id names the endpoint and the generation, and how far the caller
+//! has read, so that any instance can resume a stream whose instance crashed, without shared
+//! state. It is signed and bound to the caller's key; otherwise a caller could forge handles
+//! and read the generations of others.
 
 use crate::prelude::*;
 
-/// Version of the format, first in every handle.
+/// Version of the handle format, its first component.
 const VERSION: &str = "1";
 
-/// Hexadecimal digits of the signature kept.
-const SIGNATURE: usize = 16;
+/// Length of the truncated signature, in hexadecimal digits.
+const SIGNATURE_HEX_DIGITS: usize = 16;
 
-/// What a handle says.
+/// A verified resume handle.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Handle {
-    /// Name of the endpoint.
+    /// Name of the endpoint that runs the generation.
     pub endpoint: String,
     /// The generation.
     pub generation: generation::Id,
@@ -25,7 +25,7 @@
 }
 
 impl Handle {
-    /// The part of the handle that is the same for all events of a stream.
+    /// Returns the part of the handle that all events of a stream share.
     #[must_use]
     pub fn prefix(
         secret: &[u8; 32],
@@ -37,7 +37,7 @@
         format!("{VERSION}:{endpoint}:{generation}:{signature}:")
     }
 
-    /// Reads a handle and checks its signature.
+    /// Parses a handle; `None` if it is malformed or its signature does not match.
     #[must_use]
     pub fn parse(secret: &[u8; 32], credential: &[u8; 32], text: &str) -> Option<Self> {
         let mut parts = text.split(':');
@@ -51,8 +51,8 @@
             generation: generation::Id::parse(generation)?,
             index: index.parse().ok()?,
         };
-        let right = sign(secret, credential, endpoint, handle.generation);
-        (right == signature).then_some(handle)
+        let expected = sign(secret, credential, endpoint, handle.generation);
+        (expected == signature).then_some(handle)
     }
 }
 
@@ -66,5 +66,5 @@
     hasher.update(credential);
     hasher.update(&generation.0.to_le_bytes());
     hasher.update(endpoint.as_bytes());
-    hasher.finalize().to_hex()[..SIGNATURE].to_string()
+    hasher.finalize().to_hex()[..SIGNATURE_HEX_DIGITS].to_string()
 }
--- a/crates/caller/src/inbound.rs
+++ b/crates/caller/src/inbound.rs
@@ -1,42 +1,42 @@
-//! Requests on their way to the loop, and the pieces of their answers.
+//! Requests from the listener to the event loop, and the events of their responses.
 
 use {
-    crate::{prelude::*, problem::set},
+    crate::{prelude::*, problem::set_header},
     tokio::sync::mpsc,
 };
 
-/// A request with the way back to its caller.
+/// A caller's request with the channel for its response.
 #[derive(Debug)]
 pub struct InboundRequest {
-    /// What is asked for.
+    /// What is requested.
     pub kind: RequestKind,
     /// BLAKE3 hash of the caller's key.
     pub credential: [u8; 32],
-    /// Request id, for log lines.
+    /// Request id for log lines.
     pub id: Uuid,
-    /// Where the pieces of the answer go; closed when the caller leaves.
+    /// Channel for response events; closed when the caller disconnects.
     pub event_sender: Sender<ResponseEvent>,
-    /// How long the caller waits, if it said so.
+    /// The caller's timeout, if it set one.
     pub timeout: Option<Duration>,
 }
 
-/// What is asked for, with what is to be sent on.
+/// What is requested, with the data to forward to the endpoint.
 #[derive(Debug)]
 pub enum RequestKind {
     /// A call of a plain service.
     Call {
-        /// The order key, if the caller gave one.
+        /// The order, if the caller gave an idempotency key.
         order: Option<Order>,
-        /// What to send.
+        /// The call to forward.
         payload: Payload,
         /// Name of the service.
         service: String,
     },
     /// A generation.
     Generation {
-        /// JSON body, to be completed with the model version.
+        /// JSON body; the event loop sets the model version before it is sent.
         body: Map<String, Value>,
-        /// Largest number of tokens.
+        /// Maximum number of output tokens.
         limit: u32,
         /// Public model name.
         model: String,
@@ -45,48 +45,48 @@
         /// Estimated prompt length in tokens.
         prompt: u32,
     },
-    /// The rest of a generation.
+    /// Resumption of a generation's stream.
     Resume {
-        /// Name of the endpoint that keeps it.
+        /// Name of the endpoint that runs the generation.
         endpoint: String,
         /// The generation.
         generation: generation::Id,
-        /// First index wanted.
+        /// Index of the first token to deliver.
         next: u32,
     },
 }
 
-/// A call as it is to be sent.
+/// A service call as it is forwarded.
 #[derive(Clone, Debug)]
 pub struct Payload {
     /// The body.
     pub body: Bytes,
-    /// The idempotency key as the caller wrote it.
+    /// The idempotency key as the caller sent it, without quotes.
     pub idempotency_key: Option<String>,
-    /// The `Content-Type`.
+    /// The `Content-Type`, empty if there was none.
     pub content_type: String,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query at the service.
+    /// Path and query, relative to the service.
     pub path: String,
 }
 
-/// A piece of an answer.
+/// An event of a response.
 #[derive(Debug)]
 pub enum ResponseEvent {
-    /// The generation was given to an endpoint of this name.
+    /// The generation was sent to the endpoint of this name.
     Started(String, generation::Id),
-    /// The request is over.
+    /// The request finished.
     End(Outcome),
-    /// A token with its index.
+    /// A token: its index and the engine's JSON data.
     Token(u32, Bytes),
 }
 
 impl HandlerState {
-    /// Hands a request to the loop and returns where the pieces of its answer come.
+    /// Sends a request to the event loop and returns the channel for its response events.
     ///
-    /// The request id goes into the response, so that callers and operators can name
-    /// the request alike.
+    /// Sets the request id as a response header, so that callers can quote the id that
+    /// operators see in the log.
     pub(crate) async fn submit(
         &self,
         kind: RequestKind,
@@ -94,9 +94,9 @@
         timeout: Option<Duration>,
         response: &mut Response,
     ) -> Result<Receiver<ResponseEvent>, Error> {
-        let (event_sender, pieces) = mpsc::channel(self.event_buffer_len);
+        let (event_sender, events) = mpsc::channel(self.event_buffer_len);
         let id = Uuid::new_v4();
-        set(response, "x-request-id", &id.to_string());
+        set_header(response, "x-request-id", &id.to_string());
         let inbound = InboundRequest {
             kind,
             credential,
@@ -105,7 +105,7 @@
             timeout,
         };
         match self.inbound.send(inbound).await {
-            Ok(()) => Ok(pieces),
+            Ok(()) => Ok(events),
             Err(_ended) => Err(Error::Stopping),
         }
     }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP and server-sent events towards callers.
 
 pub mod call;
-pub mod collect;
+pub mod completion;
 pub mod error;
 pub mod events;
 pub mod generation;
--- a/crates/caller/src/prelude.rs
+++ b/crates/caller/src/prelude.rs
@@ -1,9 +1,9 @@
-//! Names that most modules of this package use.
+//! Common imports of this package.
 
 pub use {
     crate::{
         error::Error,
-        events::Events,
+        events::EventStream,
         handle::Handle,
         inbound::{InboundRequest, Payload, RequestKind, ResponseEvent},
         problem::Problem,
--- a/crates/caller/src/problem.rs
+++ b/crates/caller/src/problem.rs
@@ -1,26 +1,26 @@
-//! Errors as callers read them.
+//! Error responses to callers.
 
 use crate::prelude::*;
 
-/// A refusal or failure on its way to a caller.
+/// An error response: a rejected or failed request.
 #[derive(Clone, Debug)]
 pub struct Problem {
-    /// A stable name for programs.
+    /// Stable, machine-readable error code.
     pub code: &'static str,
-    /// For people.
+    /// Human-readable explanation.
     pub detail: String,
-    /// What is known of the request: `not-run` or `may-have-run`.
+    /// Whether the request may have run: `not-run` or `may-have-run`.
     pub outcome: &'static str,
-    /// When trying again makes sense.
+    /// Delay after which the caller may retry; sent as `Retry-After` in whole seconds.
     pub retry_after: Option<Duration>,
     /// The HTTP status.
     pub status: StatusCode,
 }
 
-/// The outcome of a request that provably did not run.
+/// Outcome of a request that certainly did not run.
 const NOT_RUN: &str = "not-run";
 
-/// The outcome of a request that may have run.
+/// Outcome of a request that may have run.
 const MAY_HAVE_RUN: &str = "may-have-run";
 
 impl From<Error> for Problem {
@@ -37,7 +37,7 @@
 
 impl From<NotRun> for Problem {
     fn from(refused: NotRun) -> Self {
-        let (code, status) = refusal(refused.refusal);
+        let (code, status) = refusal_code(refused.refusal);
         Self {
             code,
             detail: refused.refusal.to_string(),
@@ -49,8 +49,8 @@
 }
 
 impl From<MayHaveRun> for Problem {
-    fn from(why: MayHaveRun) -> Self {
-        let (code, status) = match why {
+    fn from(reason: MayHaveRun) -> Self {
+        let (code, status) = match reason {
             MayHaveRun::ClaimUnsettled => ("claim_unsettled", StatusCode::GATEWAY_TIMEOUT),
             MayHaveRun::ConnectionLost => ("connection_lost", StatusCode::BAD_GATEWAY),
             MayHaveRun::DeadlinePassed => ("deadline_passed", StatusCode::GATEWAY_TIMEOUT),
@@ -59,7 +59,7 @@
         };
         Self {
             code,
-            detail: why.to_string(),
+            detail: reason.to_string(),
             outcome: MAY_HAVE_RUN,
             retry_after: None,
             status,
@@ -68,7 +68,7 @@
 }
 
 impl Problem {
-    /// The OpenAI error object, for the paths of that API and inside streams.
+    /// Returns the OpenAI error object, for responses of that API and error events in streams.
     #[must_use]
     pub fn openai(&self) -> Value {
         let kind = if self.status.is_client_error() {
@@ -85,12 +85,12 @@
         }})
     }
 
-    /// Writes it as the OpenAI error object.
+    /// Writes the response with an OpenAI error object as its body.
     pub fn write_openai(&self, response: &mut Response) {
         self.write(response, "application/json", &self.openai());
     }
 
-    /// Writes it as RFC 9457 problem details.
+    /// Writes the response with RFC 9457 problem details as its body.
     pub fn write_problem(&self, response: &mut Response) {
         let body = json!({
           "code": self.code,
@@ -103,26 +103,26 @@
         self.write(response, "application/problem+json", &body);
     }
 
-    fn write(&self, response: &mut Response, media: &'static str, body: &Value) {
+    fn write(&self, response: &mut Response, content_type: &'static str, body: &Value) {
         response.status_code(self.status);
-        set(response, "content-type", media);
-        set(response, "carawayhead-outcome", self.outcome);
+        set_header(response, "content-type", content_type);
+        set_header(response, "carawayhead-outcome", self.outcome);
         if let Some(after) = self.retry_after {
             let seconds = after.as_secs().max(1);
-            set(response, "retry-after", &seconds.to_string());
+            set_header(response, "retry-after", &seconds.to_string());
         }
         response.body(body.to_string());
     }
 }
 
-/// Sets a header whose value is known to be valid.
-pub(crate) fn set(response: &mut Response, name: &'static str, value: &str) {
+/// Sets a header; a value that is not a valid header value is ignored.
+pub(crate) fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         response.headers_mut().insert(name, value);
     }
 }
 
-const fn refusal(refusal: Refusal) -> (&'static str, StatusCode) {
+const fn refusal_code(refusal: Refusal) -> (&'static str, StatusCode) {
     match refusal {
         Refusal::AllRefused => ("all_refused", StatusCode::SERVICE_UNAVAILABLE),
         Refusal::CallerGone => ("caller_gone", StatusCode::BAD_REQUEST),
--- a/crates/caller/src/server.rs
+++ b/crates/caller/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! HTTP listener for callers.
 
 use {
     crate::{call, generation as generations, prelude::*},
@@ -21,25 +21,25 @@
     tokio::task::JoinHandle,
 };
 
-/// Longest gap between two parts of a request body.
-const BODY_GAP: Duration = Duration::from_secs(30);
+/// Maximum time between two chunks of a request body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What every handler needs.
+/// State shared by all request handlers.
 #[derive(Clone, Debug)]
 pub struct HandlerState {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Pieces kept for a caller who reads slowly.
+    /// Maximum number of response events buffered per request for a slow caller.
     pub event_buffer_len: usize,
-    /// Requests for the loop.
+    /// Channel of requests to the event loop.
     pub inbound: Sender<InboundRequest>,
-    /// Whether the balancer may send requests here.
+    /// Whether the load balancer may send requests to this instance.
     pub ready: Arc<AtomicBool>,
-    /// Signs resume handles.
+    /// Secret that signs resume handles.
     pub handle_secret: [u8; 32],
 }
 
-/// PEM texts of the certificate and its key.
+/// PEM-encoded TLS certificate and private key.
 #[derive(Clone, Debug)]
 pub struct Pem {
     /// Certificate chain.
@@ -51,25 +51,25 @@
 /// A running listener.
 #[derive(Debug)]
 pub struct Running {
-    /// Where it listens.
+    /// Address that it is bound to.
     pub address: SocketAddr,
-    /// Stops it.
+    /// Stops the listener.
     pub handle: ServerHandle,
-    /// Ends when all connections have.
+    /// Finishes once all connections are closed.
     pub task: JoinHandle<()>,
 }
 
-/// Starts to listen for callers.
+/// Starts the listener, with TLS if `pem` is given.
 ///
 /// # Errors
 ///
 /// The address cannot be bound, or the certificate cannot be used.
 pub async fn listen(
-    gate: HandlerState,
+    state: HandlerState,
     listen: &str,
     pem: Option<Pem>,
 ) -> Result<Running, salvo::Error> {
-    let router = router(gate);
+    let router = router(state);
     let listener = TcpListener::new(listen.to_string());
     match pem {
         None => Ok(run(listener.try_bind().await?, router)),
@@ -81,9 +81,9 @@
     }
 }
 
-fn router(gate: HandlerState) -> Router {
+fn router(state: HandlerState) -> Router {
     Router::new()
-        .hoop(salvo::affix_state::inject(gate))
+        .hoop(salvo::affix_state::inject(state))
         .push(Router::with_path("healthz").get(healthz))
         .push(Router::with_path("readyz").get(readyz))
         .push(Router::with_path("services/{service}/{**rest}").goal(call::call))
@@ -106,7 +106,7 @@
         .and_then(|holding| holding.local_addr.clone().into_std())
         .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)));
     let mut fuse = FuseConfig::default();
-    fuse.request_body_timeout = Some(BODY_GAP);
+    fuse.request_body_timeout = Some(BODY_READ_TIMEOUT);
     let server = Server::new(acceptor).fuse_config(fuse);
     let handle = server.handle();
     let task = tokio::spawn(server.serve(Service::new(router)));
@@ -117,18 +117,18 @@
     }
 }
 
-/// Answers as long as the process lives.
+/// Liveness check: always 200.
 #[salvo::handler]
 async fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// Answers 200 while the balancer may send requests here.
+/// Readiness check: 200 while the load balancer may send requests, else 503.
 #[salvo::handler]
 async fn readyz(depot: &mut Depot, response: &mut Response) {
     let ready = depot
         .get_typed::<HandlerState>()
-        .is_ok_and(|gate| gate.ready.load(Ordering::Relaxed));
+        .is_ok_and(|state| state.ready.load(Ordering::Relaxed));
     if ready {
         response.body("ready\n");
         return;
--- a/crates/caller/tests/handles.rs
+++ b/crates/caller/tests/handles.rs
@@ -1,4 +1,4 @@
-//! Resume handles from callers, whatever they are.
+//! Property tests of resume handles.
 
 use {
     caller::handle::Handle,
@@ -19,11 +19,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A caller comes back with the handle it was given and is let in; with another
-    /// caller's key the same handle opens nothing, or readers could take over the
-    /// reports of others.
+    /// Guards against a caller that resumes another caller's stream with a copied handle.
     #[test]
-    fn a_handle_opens_one_stream_for_one_key(
+    fn handle_is_valid_only_with_the_key_it_was_issued_for(
         endpoint in "[a-z0-9.-]{1,20}",
         generation in any::<u128>(),
         index in any::<u32>(),
@@ -37,9 +35,9 @@
         prop_assert_eq!(Handle::parse(&SECRET, &other, &text), None);
     }
 
-    /// A caller sends any text as a handle, or changes one letter of a true one.
+    /// Guards against forged handles: arbitrary text, or a valid handle with one changed byte.
     #[test]
-    fn rubbish_opens_nothing(text in ".{0,200}", place in any::<prop::sample::Index>()) {
+    fn arbitrary_or_altered_handles_are_rejected(text in ".{0,200}", place in any::<prop::sample::Index>()) {
         prop_assert_eq!(Handle::parse(&SECRET, &[1; 32], &text), None);
         let mut handle = Handle::prefix(&SECRET, &[1; 32], "e", generation::Id(7)).into_bytes();
         let place = place.index(handle.len());
