--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -5,8 +5,8 @@
     prelude::*,
 };
 
-/// Header with the idempotency key; a call that carries one is an order.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Header with the idempotency key of an order.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Accepted format of the idempotency key.
 const IDEMPOTENCY_KEY_FORMAT: &str =
@@ -71,18 +71,18 @@
         .headers()
         .get("content-type")
         .and_then(|value| value.to_str().ok());
-    let key = match request.headers().get(IDEMPOTENCY_KEY) {
+    let idempotency_key = match request.headers().get(IDEMPOTENCY_KEY_HEADER) {
         None => None,
         Some(value) => {
-            let text = value
-                .to_str()
-                .map_err(|_not_ascii| Error::Header(IDEMPOTENCY_KEY, IDEMPOTENCY_KEY_FORMAT))?;
+            let text = value.to_str().map_err(|_not_ascii| {
+                Error::Header(IDEMPOTENCY_KEY_HEADER, IDEMPOTENCY_KEY_FORMAT)
+            })?;
             Some(text.trim().trim_matches('"').to_string())
         }
     };
     Ok(Payload {
         body,
-        idempotency_key: key,
+        idempotency_key,
         content_type: content_type.unwrap_or_default().to_string(),
         method: request.method().clone(),
         path: format!("/{rest}{query}"),
@@ -96,7 +96,10 @@
     let uuid = Uuid::parse_str(key)
         .ok()
         .filter(|uuid| uuid.get_version_num() == 7);
-    let uuid = uuid.ok_or(Error::Header(IDEMPOTENCY_KEY, IDEMPOTENCY_KEY_FORMAT))?;
+    let uuid = uuid.ok_or(Error::Header(
+        IDEMPOTENCY_KEY_HEADER,
+        IDEMPOTENCY_KEY_FORMAT,
+    ))?;
     Ok(Some(Order {
         body: digest(payload),
         uuid: uuid.as_u128(),
--- a/crates/caller/src/generation.rs
+++ b/crates/caller/src/generation.rs
@@ -20,20 +20,20 @@
 /// `POST /v1/completions`.
 #[salvo::handler]
 pub async fn completions(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    handle(request, depot, response, COMPLETIONS).await;
+    handle_generation(request, depot, response, COMPLETIONS).await;
 }
 
 /// `POST /v1/chat/completions`.
 #[salvo::handler]
 pub async fn chat_completions(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    handle(request, depot, response, CHAT).await;
+    handle_generation(request, depot, response, CHAT).await;
 }
 
 /// `GET` of either path with `Last-Event-ID`, as sent by a reconnecting `EventSource`.
 #[salvo::handler]
 pub async fn resume(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     if request.headers().contains_key("last-event-id") {
-        handle(request, depot, response, COMPLETIONS).await;
+        handle_generation(request, depot, response, COMPLETIONS).await;
         return;
     }
     let error = Error::Header("last-event-id", "present, to take up a stream by GET");
@@ -47,7 +47,7 @@
     stream: bool,
 }
 
-async fn handle(
+async fn handle_generation(
     request: &mut Request,
     depot: &mut Depot,
     response: &mut Response,
