--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -6,10 +6,10 @@
 };
 
 /// Header with the idempotency key of an order.
-const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 
 /// Accepted format of the idempotency key.
-const IDEMPOTENCY_KEY_FORMAT: &str =
+const KEY_FORMAT: &str =
     "a UUID of version 7, whose time of birth tells how long repeats are known";
 
 /// Any method on `/services/{service}/{**rest}`.
@@ -71,12 +71,12 @@
         .headers()
         .get("content-type")
         .and_then(|value| value.to_str().ok());
-    let idempotency_key = match request.headers().get(IDEMPOTENCY_KEY_HEADER) {
+    let idempotency_key = match request.headers().get(KEY_HEADER) {
         None => None,
         Some(value) => {
-            let text = value.to_str().map_err(|_not_ascii| {
-                Error::Header(IDEMPOTENCY_KEY_HEADER, IDEMPOTENCY_KEY_FORMAT)
-            })?;
+            let text = value
+                .to_str()
+                .map_err(|_not_ascii| Error::Header(KEY_HEADER, KEY_FORMAT))?;
             Some(text.trim().trim_matches('"').to_string())
         }
     };
@@ -96,10 +96,7 @@
     let uuid = Uuid::parse_str(key)
         .ok()
         .filter(|uuid| uuid.get_version_num() == 7);
-    let uuid = uuid.ok_or(Error::Header(
-        IDEMPOTENCY_KEY_HEADER,
-        IDEMPOTENCY_KEY_FORMAT,
-    ))?;
+    let uuid = uuid.ok_or(Error::Header(KEY_HEADER, KEY_FORMAT))?;
     Ok(Some(Order {
         body: digest(payload),
         uuid: uuid.as_u128(),
