--- a/crates/standin/src/cache.rs
+++ b/crates/standin/src/cache.rs
@@ -1,28 +1,28 @@
-//! The prefix cache of an engine, and the events that it publishes late and with gaps.
+//! The prefix cache of an engine; its events are published with a delay and with gaps.
 
 use crate::prelude::*;
 
-/// Prefixes kept; older ones are evicted.
-const MOST: usize = 256;
+/// Maximum number of cached prefixes; the least recently used is evicted.
+const MAX_PREFIXES: usize = 256;
 
-/// Characters of a prompt that make a prefix.
-const PREFIX: usize = 64;
+/// Length of a prefix, in characters.
+const PREFIX_CHARS: usize = 64;
 
-/// Of this many events one is lost.
-const LOST_ONE_IN: u64 = 10;
+/// One in this many events is lost.
+const EVENT_LOSS_INTERVAL: u64 = 10;
 
-/// One change of the cache.
+/// A change of the cache.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Digest of the prefix.
+    /// Truncated BLAKE3 hash of the prefix, in hexadecimal.
     pub prefix: String,
-    /// Counts events; a number left out was lost.
+    /// Sequence number; a gap marks a lost event.
     pub sequence: u64,
-    /// Whether the prefix came in or was evicted.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// The cache.
+/// A prefix cache with least-recently-used eviction.
 #[derive(Debug, Default)]
 pub struct Cache {
     events: VecDeque<(Instant, Event)>,
@@ -31,19 +31,19 @@
 }
 
 impl Cache {
-    /// Looks a prompt up and keeps its prefix; true if it was there.
+    /// Marks the prompt's prefix as used, storing it if needed; returns whether it was cached.
     pub fn touch(&mut self, prompt: &str, now: Instant) -> bool {
-        let prefix = prompt.chars().take(PREFIX).collect::<String>();
+        let prefix = prompt.chars().take(PREFIX_CHARS).collect::<String>();
         let prefix = blake3::hash(prefix.as_bytes()).to_hex()[..16].to_string();
-        let place = self.prefixes.iter().position(|kept| *kept == prefix);
-        if let Some(place) = place {
-            self.prefixes.remove(place);
+        let position = self.prefixes.iter().position(|cached| *cached == prefix);
+        if let Some(position) = position {
+            self.prefixes.remove(position);
             self.prefixes.push_back(prefix);
             return true;
         }
         self.publish(&prefix, true, now);
         self.prefixes.push_back(prefix);
-        if self.prefixes.len() > MOST
+        if self.prefixes.len() > MAX_PREFIXES
             && let Some(evicted) = self.prefixes.pop_front()
         {
             self.publish(&evicted, false, now);
@@ -51,19 +51,19 @@
         false
     }
 
-    /// Events from `from` on that are older than `lag`.
+    /// Returns the events from sequence number `from` on that are at least `lag` old.
     #[must_use]
     pub fn events(&self, from: u64, lag: Duration, now: Instant) -> Vec<Event> {
         let events = self.events.iter();
-        let seen =
+        let visible =
             events.filter(|(at, event)| event.sequence >= from && now.duration_since(*at) >= lag);
-        seen.map(|(_, event)| event.clone()).collect()
+        visible.map(|(_, event)| event.clone()).collect()
     }
 
     fn publish(&mut self, prefix: &str, stored: bool, now: Instant) {
         let sequence = self.sequence;
         self.sequence += 1;
-        if sequence % LOST_ONE_IN == LOST_ONE_IN - 1 {
+        if sequence % EVENT_LOSS_INTERVAL == EVENT_LOSS_INTERVAL - 1 {
             return;
         }
         let event = Event {
@@ -72,7 +72,7 @@
             stored,
         };
         self.events.push_back((now, event));
-        if self.events.len() > MOST * 4 {
+        if self.events.len() > MAX_PREFIXES * 4 {
             self.events.pop_front();
         }
     }
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -1,4 +1,4 @@
-//! Command line of a stand-in that runs as a process of its own.
+//! Command line of a stand-in that runs as a separate process.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
     std::io,
 };
 
-/// Which stand-in to run, and how it behaves
+/// Runs a stand-in for a part of the platform
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(generate(parser))]
 pub enum Command {
@@ -23,40 +23,40 @@
         /// IP address and port
         #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_string()))]
         listen: String,
-        /// Refuse orders with an old fencing number
+        /// Reject orders with a stale fencing number
         checks_fencing: bool,
-        /// A model that it serves
+        /// Model to serve; may be repeated
         #[bpaf(argument("NAME"), many)]
         model: Vec<String>,
-        /// KV memory in tokens
+        /// KV cache capacity, in tokens
         #[bpaf(argument("TOKENS"), fallback(32_768))]
         capacity: u64,
-        /// Most generations in the batch
+        /// Maximum number of generations in the batch
         #[bpaf(argument("COUNT"), fallback(64))]
         batch: usize,
-        /// Time of a step with an empty batch, in microseconds
+        /// Base duration of a step, in microseconds
         #[bpaf(argument("MICROS"), fallback(8_000))]
         step_base: u64,
-        /// Time added by each generation in the batch, in microseconds
+        /// Time that each generation in the batch adds to a step, in microseconds
         #[bpaf(argument("MICROS"), fallback(150))]
         step_each: u64,
-        /// How long it is cold after its start, in milliseconds
+        /// Duration of the cold phase after the start, in milliseconds
         #[bpaf(argument("MS"), fallback(0))]
         cold_ms: u64,
-        /// Generations borne at once while cold
+        /// Maximum number of concurrent generations while cold
         #[bpaf(argument("COUNT"), fallback(8))]
         cold_limit: usize,
-        /// How late the load report is, in milliseconds
+        /// Delay of the load report, in milliseconds
         #[bpaf(argument("MS"), fallback(200))]
         lag_ms: u64,
     },
-    /// The lagging instance list
+    /// The instance list, which shows changes with a delay
     #[bpaf(command)]
     List {
         /// IP address and port
         #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_string()))]
         listen: String,
-        /// How late a change is seen, in milliseconds
+        /// Delay until a change is visible, in milliseconds
         #[bpaf(argument("MS"), fallback(200))]
         lag_ms: u64,
     },
@@ -66,7 +66,7 @@
         /// IP address and port
         #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_string()))]
         listen: String,
-        /// Seed of its lost answers
+        /// Seed for the choice of lost responses
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
     },
@@ -79,7 +79,7 @@
     },
 }
 
-/// Runs a stand-in until the process is ended.
+/// Runs a stand-in until the process is terminated.
 ///
 /// # Errors
 ///
@@ -105,12 +105,12 @@
             step_each,
         } => {
             let profile = EngineProfile {
-                batch,
+                max_batch: batch,
                 capacity,
-                cold_for: Duration::from_millis(cold_ms),
+                cold_duration: Duration::from_millis(cold_ms),
                 cold_limit,
-                step_base,
-                step_each,
+                step_base_us: step_base,
+                step_per_generation_us: step_each,
                 ..EngineProfile::default()
             };
             let settings = Settings {
--- a/crates/standin/src/decode.rs
+++ b/crates/standin/src/decode.rs
@@ -1,74 +1,74 @@
-//! Continuous batching with a bounded KV memory, as a pure model.
+//! Simulation of continuous batching with a bounded KV cache, without I/O.
 //!
-//! Each step gives one token to every generation in the batch and takes one
-//! token of memory for it. When memory runs out, the generation of the lowest
-//! priority that came last is preempted and computed anew later.
+//! Each step produces one token for every generation in the batch, which takes one token of
+//! KV cache. When the cache is full, the most recent generation of the lowest priority is
+//! preempted and recomputed later.
 
 use crate::prelude::*;
 
-/// Sizes and times of an engine.
+/// Capacity and timing of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineProfile {
-    /// Most generations in the batch.
-    pub batch: usize,
-    /// KV memory in tokens.
+    /// Maximum number of generations in the batch.
+    pub max_batch: usize,
+    /// KV cache capacity, in tokens.
     pub capacity: u64,
-    /// Time of a step with an empty batch, in microseconds.
-    pub step_base: u64,
-    /// Time added by each generation in the batch, in microseconds.
-    pub step_each: u64,
-    /// Time added by each prompt token computed, in microseconds.
-    pub prefill_each: u64,
-    /// How long it is cold after its start.
-    pub cold_for: Duration,
-    /// Generations borne at once while cold; one more makes it fall over.
+    /// Base duration of a step, in microseconds.
+    pub step_base_us: u64,
+    /// Time that each generation in the batch adds to a step, in microseconds.
+    pub step_per_generation_us: u64,
+    /// Time that each prefilled token adds to a step, in microseconds.
+    pub prefill_per_token_us: u64,
+    /// Duration of the cold phase after a start.
+    pub cold_duration: Duration,
+    /// Maximum number of concurrent generations while cold; one more crashes the engine.
     pub cold_limit: usize,
 }
 
 impl Default for EngineProfile {
     fn default() -> Self {
         Self {
-            batch: 64,
+            max_batch: 64,
             capacity: 32_768,
-            cold_for: Duration::ZERO,
+            cold_duration: Duration::ZERO,
             cold_limit: 8,
-            prefill_each: 10,
-            step_base: 8_000,
-            step_each: 150,
+            prefill_per_token_us: 10,
+            step_base_us: 8_000,
+            step_per_generation_us: 150,
         }
     }
 }
 
-/// How far a generation has come.
+/// Progress of a generation.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Progress {
-    /// Whether it was cancelled or lost.
-    pub broken: bool,
-    /// Tokens produced.
+    /// Whether it was cancelled or lost in a crash.
+    pub aborted: bool,
+    /// Number of tokens produced.
     pub produced: u32,
 }
 
 /// One generation.
 #[derive(Debug)]
 pub struct Generation {
-    /// Identifier given by the caller.
+    /// Id that the client gave it.
     pub id: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Tells readers how far it has come.
+    /// Publishes its progress to readers.
     pub progress: watch::Sender<Progress>,
     /// Prompt length in tokens.
     pub prompt: u32,
-    /// Higher is preempted later.
+    /// Priority; a higher one is admitted earlier and preempted later.
     pub priority: i64,
-    /// Connections that read it.
+    /// Number of connections that read it.
     pub readers: usize,
-    /// Length of the whole output.
+    /// Length of the complete output, in tokens.
     pub target: u32,
-    /// When it ended.
+    /// When it ended, if it has.
     pub ended: Option<Instant>,
     arrived: u64,
-    known: bool,
+    prefix_cached: bool,
     produced: u32,
     running: bool,
 }
@@ -78,36 +78,36 @@
         u64::from(self.prompt) + u64::from(self.produced)
     }
 
-    fn live(&self) -> bool {
+    fn is_live(&self) -> bool {
         self.ended.is_none()
     }
 }
 
-/// The batch, the queue behind it, and what has ended of late.
+/// Generations in the batch, in the queue, and recently ended.
 #[derive(Debug)]
 pub struct Batch {
-    /// Every generation known.
+    /// All generations, ended ones included for `ENDED_RETENTION`.
     pub generations: Vec<Generation>,
-    /// Generations thrown out of the batch for want of memory.
+    /// Number of preemptions because the KV cache was full.
     pub preemptions: u64,
-    /// Times it was overrun while cold.
-    pub fell_over: u64,
-    /// Tokens produced.
+    /// Number of crashes caused by overload while cold.
+    pub crashes: u64,
+    /// Number of tokens produced by all generations.
     pub tokens: u64,
     arrivals: u64,
     profile: EngineProfile,
 }
 
 /// How long an ended generation can still be read.
-const KEPT: Duration = Duration::from_secs(30);
+const ENDED_RETENTION: Duration = Duration::from_secs(30);
 
 impl Batch {
-    /// An empty batch.
+    /// Creates an empty batch.
     #[must_use]
     pub const fn new(profile: EngineProfile) -> Self {
         Self {
             arrivals: 0,
-            fell_over: 0,
+            crashes: 0,
             generations: Vec::new(),
             preemptions: 0,
             profile,
@@ -115,15 +115,15 @@
         }
     }
 
-    /// Takes a new generation in.
-    pub fn add(
+    /// Queues a new generation; `prefix_cached` spares it the first prefill.
+    pub fn enqueue(
         &mut self,
         id: &str,
         model: &str,
         prompt: u32,
         target: u32,
         priority: i64,
-        known: bool,
+        prefix_cached: bool,
     ) {
         self.arrivals += 1;
         let (progress, _) = watch::channel(Progress::default());
@@ -131,7 +131,7 @@
             arrived: self.arrivals,
             ended: None,
             id: id.to_string(),
-            known,
+            prefix_cached,
             model: model.to_string(),
             priority,
             produced: 0,
@@ -143,42 +143,42 @@
         });
     }
 
-    /// The generation of this id.
+    /// Returns the generation with this id.
     pub fn get(&mut self, id: &str) -> Option<&mut Generation> {
         self.generations
             .iter_mut()
             .find(|generation| generation.id == id)
     }
 
-    /// Ends a generation before its time.
+    /// Aborts a generation.
     pub fn cancel(&mut self, id: &str, now: Instant) {
         if let Some(generation) = self.get(id) {
             end(generation, now, true);
         }
     }
 
-    /// Ends every generation, as when the engine falls over.
-    pub fn fall_over(&mut self, now: Instant) {
-        self.fell_over += 1;
+    /// Aborts all generations, as a crash of the engine does.
+    pub fn crash(&mut self, now: Instant) {
+        self.crashes += 1;
         for generation in &mut self.generations {
             end(generation, now, true);
         }
     }
 
-    /// Generations in the batch and waiting.
+    /// Returns the numbers of running and of waiting generations.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let live = self
             .generations
             .iter()
-            .filter(|generation| generation.live());
+            .filter(|generation| generation.is_live());
         let running = live.clone().filter(|generation| generation.running).count();
         (running, live.count() - running)
     }
 
-    /// KV memory in use, in tokens.
+    /// Returns the KV cache in use, in tokens.
     #[must_use]
-    pub fn used(&self) -> u64 {
+    pub fn used_tokens(&self) -> u64 {
         let running = self
             .generations
             .iter()
@@ -186,10 +186,10 @@
         running.map(Generation::memory).sum()
     }
 
-    /// One step: admits, produces, preempts. Returns how long it takes.
+    /// Runs one step (admission, preemption, decoding) and returns its duration.
     pub fn step(&mut self, now: Instant, cold: bool) -> Duration {
-        let computed = self.admit();
-        self.make_room();
+        let prefill_tokens = self.admit();
+        self.preempt_until_fit();
         let mut batch = 0;
         for generation in self
             .generations
@@ -210,77 +210,78 @@
         self.generations.retain(|generation| {
             generation
                 .ended
-                .is_none_or(|ended| now.duration_since(ended) < KEPT)
+                .is_none_or(|ended| now.duration_since(ended) < ENDED_RETENTION)
         });
         let profile = &self.profile;
-        let micros =
-            profile.step_base + profile.step_each * batch + profile.prefill_each * computed;
+        let micros = profile.step_base_us
+            + profile.step_per_generation_us * batch
+            + profile.prefill_per_token_us * prefill_tokens;
         Duration::from_micros(if cold { micros * 4 } else { micros })
     }
 
-    /// Moves waiting generations into the batch and returns the tokens to compute.
+    /// Moves waiting generations into the batch and returns the number of tokens to prefill.
     fn admit(&mut self) -> u64 {
-        let mut used = self.used();
+        let mut used = self.used_tokens();
         let (mut running, _) = self.counts();
         let mut waiting = (0..self.generations.len())
-            .filter(|place| self.generations[*place].live() && !self.generations[*place].running)
+            .filter(|index| self.generations[*index].is_live() && !self.generations[*index].running)
             .collect::<Vec<_>>();
-        waiting.sort_by_key(|place| {
-            let generation = &self.generations[*place];
+        waiting.sort_by_key(|index| {
+            let generation = &self.generations[*index];
             (-generation.priority, generation.arrived)
         });
-        let mut computed = 0;
-        for place in waiting {
-            let generation = &mut self.generations[place];
+        let mut prefill_tokens = 0;
+        for index in waiting {
+            let generation = &mut self.generations[index];
             let need = generation.memory() + 1;
-            if running >= self.profile.batch || used + need > self.profile.capacity {
+            if running >= self.profile.max_batch || used + need > self.profile.capacity {
                 break;
             }
             generation.running = true;
             used += need;
             running += 1;
-            // Once it was preempted its memory is gone, and the prefix with it.
-            computed += if std::mem::take(&mut generation.known) {
+            // Preemption frees the whole KV cache of a generation, its cached prefix included.
+            prefill_tokens += if std::mem::take(&mut generation.prefix_cached) {
                 0
             } else {
                 generation.memory()
             };
         }
-        computed
+        prefill_tokens
     }
 
-    fn make_room(&mut self) {
+    fn preempt_until_fit(&mut self) {
         loop {
             let running = self
                 .generations
                 .iter()
                 .filter(|generation| generation.running)
                 .count() as u64;
-            if running < 2 || self.used() + running <= self.profile.capacity {
+            if running < 2 || self.used_tokens() + running <= self.profile.capacity {
                 return;
             }
-            let victim = self
+            let preempted = self
                 .generations
                 .iter_mut()
                 .filter(|generation| generation.running)
                 .min_by_key(|generation| {
                     (generation.priority, std::cmp::Reverse(generation.arrived))
                 });
-            if let Some(victim) = victim {
-                victim.running = false;
+            if let Some(preempted) = preempted {
+                preempted.running = false;
                 self.preemptions += 1;
             }
         }
     }
 }
 
-fn end(generation: &mut Generation, now: Instant, broken: bool) {
-    if !generation.live() {
+fn end(generation: &mut Generation, now: Instant, aborted: bool) {
+    if !generation.is_live() {
         return;
     }
     generation.ended = Some(now);
     generation.running = false;
     generation
         .progress
-        .send_modify(|progress| progress.broken = broken);
+        .send_modify(|progress| progress.aborted = aborted);
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine in the OpenAI shape, with resume, cancel and a late load report.
+//! An OpenAI-compatible model engine with resume, cancel and a delayed load report.
 
 use {
     crate::{
@@ -9,33 +9,33 @@
     std::{fmt::Write as _, io},
 };
 
-/// How long it refuses everything after it was overrun while cold.
-const DOWN: Duration = Duration::from_secs(2);
+/// How long it rejects new generations after a crash.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(2);
 
-/// Marks the output length in a prompt, so that a test can choose it.
-const LENGTH: &str = "tokens=";
+/// Precedes the output length in a prompt, with which a test sets it.
+const OUTPUT_LENGTH_MARKER: &str = "tokens=";
 
-/// What an engine is.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with a stale fencing number.
     pub checks_fencing: bool,
-    /// How late the load report is.
+    /// Delay of the load report and of cache events.
     pub lag: Duration,
-    /// Models that it serves, adapters included.
+    /// Names of the models that it serves, adapters included.
     pub models: Vec<String>,
-    /// Sizes and times.
+    /// Capacity and timing.
     pub profile: EngineProfile,
 }
 
-/// Faults that can be set while it runs; absent fields stay as they are.
+/// Faults to inject at run time; absent fields leave the current value.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Control {
-    /// Makes it cold again.
+    /// Simulates a restart: the engine is cold again.
     pub cold: Option<bool>,
-    /// Makes it say that it is leaving.
+    /// Whether it reports that it is leaving.
     pub leaving: Option<bool>,
-    /// Makes every connection that is open now silent for good.
+    /// Stalls all streams that are open now, without closing them.
     pub mute: Option<bool>,
 }
 
@@ -55,33 +55,33 @@
     down_until: Instant,
     highest_cold: usize,
     leaving: bool,
-    loads: VecDeque<(Instant, String)>,
-    muted: Instant,
+    load_reports: VecDeque<(Instant, String)>,
+    muted_at: Instant,
     settings: Settings,
-    started: u64,
+    incarnation: u64,
     starts: u64,
 }
 
 impl Engine {
-    /// An engine that has just started.
+    /// Creates an engine that starts cold.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let now = Instant::now();
-        let since = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let inner = Inner {
             batch: Batch::new(settings.profile),
             cache: Cache::default(),
             fence: 0,
-            cold_until: now + settings.profile.cold_for,
+            cold_until: now + settings.profile.cold_duration,
             down_until: now,
             highest_cold: 0,
             leaving: false,
-            loads: VecDeque::new(),
-            muted: now,
+            load_reports: VecDeque::new(),
+            muted_at: now,
             settings,
-            started: u64::try_from(since.as_millis()).unwrap_or_default(),
+            incarnation: u64::try_from(unix_time.as_millis()).unwrap_or_default(),
             starts: 0,
         };
         Self {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Starts to decode and to serve.
+    /// Starts the decoding task and the HTTP server.
     ///
     /// # Errors
     ///
@@ -105,7 +105,7 @@
             )
             .push(Router::with_path("cache/events").get(cache_events))
             .push(Router::with_path("load").get(get_load))
-            .push(Router::with_path("orders").post(take_order))
+            .push(Router::with_path("orders").post(execute_order))
             .push(Router::with_path("v1/completions").post(start))
             .push(Router::with_path("v1/chat/completions").post(start))
             .push(
@@ -139,12 +139,12 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("the engine is never poisoned")
+        self.inner.lock().expect("engine lock poisoned")
     }
 }
 
 impl Inner {
-    /// Whether a new generation is taken; overrun while cold, it falls over.
+    /// Returns whether a new generation is accepted; crashes if there are too many while cold.
     fn admit(&mut self, now: Instant) -> bool {
         if self.down_until > now || self.leaving {
             return false;
@@ -159,32 +159,32 @@
         if live <= self.settings.profile.cold_limit {
             return true;
         }
-        self.batch.fall_over(now);
-        self.down_until = now + DOWN;
+        self.batch.crash(now);
+        self.down_until = now + CRASH_DOWNTIME;
         false
     }
 
-    fn load(&mut self, now: Instant) -> String {
+    fn load_report(&mut self, now: Instant) -> String {
         let (running, waiting) = self.batch.counts();
         let load = json!({
           "capacity_tokens": self.settings.profile.capacity,
           "leaving": self.leaving,
           "models": self.settings.models,
           "running": running,
-          "started": self.started,
-          "used_tokens": self.batch.used(),
+          "started": self.incarnation,
+          "used_tokens": self.batch.used_tokens(),
           "waiting": waiting,
         });
-        self.loads.push_back((now, load.to_string()));
+        self.load_reports.push_back((now, load.to_string()));
         let lag = self.settings.lag;
-        while self.loads.len() > 1 && now.duration_since(self.loads[1].0) >= lag {
-            self.loads.pop_front();
+        while self.load_reports.len() > 1 && now.duration_since(self.load_reports[1].0) >= lag {
+            self.load_reports.pop_front();
         }
-        self.loads[0].1.clone()
+        self.load_reports[0].1.clone()
     }
 }
 
-/// A body as far as the engine reads it.
+/// The fields of a completion request that the engine uses.
 #[derive(Deserialize)]
 struct Body {
     max_tokens: Option<u32>,
@@ -206,25 +206,34 @@
     let id = request.header::<String>("x-request-id").unwrap_or_default();
     let chat = request.uri().path().contains("chat");
     let Ok(body) = request.parse_json_with_max_size::<Body>(1 << 22).await else {
-        return text(
+        return write_text(
             response,
             StatusCode::BAD_REQUEST,
-            "not a completion request",
+            "invalid completion request",
         );
     };
     let prompt = format!("{}{}", body.prompt, body.messages);
-    let target = length(&prompt).min(body.max_tokens.unwrap_or(u32::MAX));
+    let target = output_length(&prompt).min(body.max_tokens.unwrap_or(u32::MAX));
     {
         let mut inner = engine.lock();
         if !inner.admit(Instant::now()) {
-            return text(response, StatusCode::SERVICE_UNAVAILABLE, "not taken");
+            return write_text(
+                response,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "not accepting generations",
+            );
         }
-        let length = u32::try_from(prompt.len() / 4).unwrap_or(u32::MAX);
-        // A known prefix costs no computing; its memory is counted all the same.
-        let known = inner.cache.touch(&prompt, Instant::now());
-        inner
-            .batch
-            .add(&id, &body.model, length, target, body.priority, known);
+        let prompt_tokens = u32::try_from(prompt.len() / 4).unwrap_or(u32::MAX);
+        // A cached prefix needs no prefill but still takes KV cache.
+        let prefix_cached = inner.cache.touch(&prompt, Instant::now());
+        inner.batch.enqueue(
+            &id,
+            &body.model,
+            prompt_tokens,
+            target,
+            body.priority,
+            prefix_cached,
+        );
     };
     engine.added.notify_one();
     stream(&engine, &id, 0, chat, response);
@@ -238,13 +247,13 @@
     };
     let id = request.param::<String>("id").unwrap_or_default();
     let from = request.query::<u32>("from").unwrap_or_default();
-    let known = engine
+    let available = engine
         .lock()
         .batch
         .get(&id)
-        .is_some_and(|kept| !kept.progress.borrow().broken);
-    if !known {
-        return text(response, StatusCode::NOT_FOUND, "not kept");
+        .is_some_and(|generation| !generation.progress.borrow().aborted);
+    if !available {
+        return write_text(response, StatusCode::NOT_FOUND, "generation not found");
     }
     stream(&engine, &id, from, false, response);
 }
@@ -258,18 +267,18 @@
     let id = request.param::<String>("id").unwrap_or_default();
     let unattached = request.query::<bool>("unattached").unwrap_or_default();
     let mut inner = engine.lock();
-    let read = inner
+    let has_readers = inner
         .batch
         .get(&id)
         .is_some_and(|generation| generation.readers > 0);
-    if !(unattached && read) {
+    if !(unattached && has_readers) {
         inner.batch.cancel(&id, Instant::now());
     }
     drop(inner);
-    text(response, StatusCode::NO_CONTENT, "");
+    write_text(response, StatusCode::NO_CONTENT, "");
 }
 
-/// `GET /cache/events?from=0`: changes of the prefix cache, late and with gaps.
+/// `GET /cache/events?from=0`: changes of the prefix cache, with a delay and with gaps.
 #[handler]
 async fn cache_events(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(engine) = depot.get_typed::<Engine>().cloned() else {
@@ -282,29 +291,29 @@
     response.body(json!(events).to_string());
 }
 
-/// An order of an operator's system to an engine.
+/// An order of the operator to an engine.
 #[derive(Deserialize)]
 struct Order {
-    /// Fencing number; a higher one is newer.
+    /// Fencing number; an order with a higher one is newer.
     fence: u64,
-    /// A model to load.
+    /// Model to load.
     load: Option<String>,
-    /// A model to let go.
+    /// Model to unload.
     unload: Option<String>,
 }
 
-/// `POST /orders`: loads or lets go a model, unless the fencing number is old.
+/// `POST /orders`: loads or unloads a model, unless the fencing number is stale.
 #[handler]
-async fn take_order(request: &mut Request, depot: &mut Depot, response: &mut Response) {
+async fn execute_order(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(engine) = depot.get_typed::<Engine>().cloned() else {
         return;
     };
     let Ok(order) = request.parse_json::<Order>().await else {
-        return text(response, StatusCode::BAD_REQUEST, "not an order");
+        return write_text(response, StatusCode::BAD_REQUEST, "invalid order");
     };
     let mut inner = engine.lock();
     if inner.settings.checks_fencing && order.fence < inner.fence {
-        return text(response, StatusCode::CONFLICT, "old fencing number");
+        return write_text(response, StatusCode::CONFLICT, "stale fencing number");
     }
     inner.fence = inner.fence.max(order.fence);
     let models = &mut inner.settings.models;
@@ -315,17 +324,17 @@
     response.body("{}");
 }
 
-/// `GET /load`.
+/// `GET /load`: the delayed load report.
 #[handler]
 async fn get_load(depot: &mut Depot, response: &mut Response) {
     let Ok(engine) = depot.get_typed::<Engine>().cloned() else {
         return;
     };
-    let load = engine.lock().load(Instant::now());
+    let load = engine.lock().load_report(Instant::now());
     response.body(load);
 }
 
-/// `GET /control`: what it went through.
+/// `GET /control`: counters of the engine.
 #[handler]
 async fn get_stats(depot: &mut Depot, response: &mut Response) {
     let Ok(engine) = depot.get_typed::<Engine>().cloned() else {
@@ -334,49 +343,49 @@
     let inner = engine.lock();
     let (running, waiting) = inner.batch.counts();
     let stats = json!({
-      "fell_over": inner.batch.fell_over,
+      "fell_over": inner.batch.crashes,
       "highest_cold": inner.highest_cold,
       "preemptions": inner.batch.preemptions,
       "running": running,
       "starts": inner.starts,
       "tokens": inner.batch.tokens,
-      "used_tokens": inner.batch.used(),
+      "used_tokens": inner.batch.used_tokens(),
       "waiting": waiting,
     });
     response.body(stats.to_string());
 }
 
-/// `POST /control`.
+/// `POST /control`: injects faults.
 #[handler]
 async fn set_control(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(engine) = depot.get_typed::<Engine>().cloned() else {
         return;
     };
     let Ok(new) = request.parse_json::<Control>().await else {
-        return text(response, StatusCode::BAD_REQUEST, "not a control");
+        return write_text(response, StatusCode::BAD_REQUEST, "invalid control request");
     };
     let mut inner = engine.lock();
     let now = Instant::now();
     if new.cold == Some(true) {
-        inner.cold_until = now + inner.settings.profile.cold_for;
-        inner.started += 1;
+        inner.cold_until = now + inner.settings.profile.cold_duration;
+        inner.incarnation += 1;
     }
     if let Some(leaving) = new.leaving {
         inner.leaving = leaving;
     }
     if new.mute == Some(true) {
-        inner.muted = now;
+        inner.muted_at = now;
     }
     response.body("{}");
 }
 
-/// Counts a connection that reads a generation, for as long as it is open.
-struct Reader {
+/// Counts a connection as a reader of a generation until dropped.
+struct ReaderGuard {
     engine: Engine,
     id: String,
 }
 
-impl Drop for Reader {
+impl Drop for ReaderGuard {
     fn drop(&mut self) {
         if let Some(generation) = self.engine.lock().batch.get(&self.id) {
             generation.readers -= 1;
@@ -384,7 +393,7 @@
     }
 }
 
-/// Where a stream stands.
+/// State of a response stream.
 struct Cursor {
     chat: bool,
     done: bool,
@@ -392,17 +401,17 @@
     next: u32,
     opened: Instant,
     progress: watch::Receiver<Progress>,
-    reader: Reader,
+    reader: ReaderGuard,
     target: u32,
 }
 
-/// Streams a generation from token `next` on.
+/// Responds with the stream of a generation from token `next` on.
 fn stream(engine: &Engine, id: &str, next: u32, chat: bool, response: &mut Response) {
     let cursor = {
         let mut inner = engine.lock();
         let Some(generation) = inner.batch.get(id) else {
             drop(inner);
-            return text(response, StatusCode::NOT_FOUND, "not kept");
+            return write_text(response, StatusCode::NOT_FOUND, "generation not found");
         };
         generation.readers += 1;
         Cursor {
@@ -412,7 +421,7 @@
             next,
             opened: Instant::now(),
             progress: generation.progress.subscribe(),
-            reader: Reader {
+            reader: ReaderGuard {
                 engine: engine.clone(),
                 id: id.to_string(),
             },
@@ -426,24 +435,24 @@
     response.stream(futures_util::stream::unfold(cursor, advance));
 }
 
-/// Waits for the next tokens and renders them.
+/// Waits for further tokens and renders them; `None` at the end of the stream.
 async fn advance(mut cursor: Cursor) -> Option<(io::Result<Bytes>, Cursor)> {
     if cursor.done {
         return None;
     }
     loop {
         let progress = *cursor.progress.borrow_and_update();
-        let muted = cursor.reader.engine.lock().muted;
-        if muted > cursor.opened {
+        let muted_at = cursor.reader.engine.lock().muted_at;
+        if muted_at > cursor.opened {
             std::future::pending::<()>().await;
         }
-        if progress.broken {
+        if progress.aborted {
             cursor.done = true;
-            return Some((Err(io::Error::other("generation ended early")), cursor));
+            return Some((Err(io::Error::other("generation aborted")), cursor));
         }
         if progress.produced > cursor.next {
-            let part = render(&mut cursor, progress.produced);
-            return Some((Ok(part), cursor));
+            let chunk = render(&mut cursor, progress.produced);
+            return Some((Ok(chunk), cursor));
         }
         if cursor.next >= cursor.target {
             cursor.done = true;
@@ -457,10 +466,10 @@
 }
 
 fn render(cursor: &mut Cursor, produced: u32) -> Bytes {
-    let mut part = String::new();
+    let mut chunk = String::new();
     let (id, model) = (&cursor.reader.id, &cursor.model);
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    let sent = since.unwrap_or_default().as_micros();
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    let sent = unix_time.unwrap_or_default().as_micros();
     while cursor.next < produced {
         let index = cursor.next;
         let finish = if index + 1 == cursor.target {
@@ -474,22 +483,23 @@
             format!(r#"{{"index":0,"text":" w{index}","finish_reason":{finish}}}"#)
         };
         write!(
-      part,
+      chunk,
       "id: {id}:{index}\ndata: {{\"id\":\"cmpl-{id}\",\"object\":\"text_completion\",\"model\":\"{model}\",\"sent_us\":{sent},\"choices\":[{choice}]}}\n\n"
     )
     .expect("writing to a String cannot fail");
         cursor.next += 1;
     }
     if cursor.next >= cursor.target {
-        part.push_str("data: [DONE]\n\n");
+        chunk.push_str("data: [DONE]\n\n");
         cursor.done = true;
     }
-    part.into()
+    chunk.into()
 }
 
-/// Output length of a prompt: marked in it, or drawn from its hash with a long tail.
-fn length(prompt: &str) -> u32 {
-    if let Some((_, rest)) = prompt.split_once(LENGTH) {
+/// Returns the output length for a prompt, in tokens: the number after `OUTPUT_LENGTH_MARKER`,
+/// or else one derived from the prompt's hash, with a long-tailed distribution.
+fn output_length(prompt: &str) -> u32 {
+    if let Some((_, rest)) = prompt.split_once(OUTPUT_LENGTH_MARKER) {
         let digits = rest
             .chars()
             .take_while(char::is_ascii_digit)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and the back ends, for tests and the demo.
+//! Small stand-ins for the platform and the endpoints, for tests and the demo.
 //!
-//! Each is an HTTP server on loopback that behaves, and fails, as the real thing
-//! is described to; `POST /control` sets its faults.
+//! Each is an HTTP server that simulates the behaviour and the failures of the real
+//! component; `POST /control` injects faults.
 
 pub mod cache;
 pub mod command;
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,19 +1,19 @@
-//! The platform's lagging list of live and leaving instances.
+//! The platform's list of live and leaving instances, which shows changes with a delay.
 
 use {crate::prelude::*, std::io};
 
-/// One row of the list.
+/// An instance in the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Row {
     /// IP address and port.
     pub address: String,
     /// Failure domain.
     pub domain: String,
-    /// Unique name.
+    /// Unique instance name.
     pub name: String,
     /// `engine`, `entry` or `service`.
     pub role: String,
-    /// Name of the service, for services.
+    /// Name of the service; empty for other roles.
     #[serde(default)]
     pub service: String,
     /// `live` or `leaving`.
@@ -21,7 +21,7 @@
 }
 
 impl Row {
-    /// A live row; `service` counts for services only.
+    /// Creates the row of a live instance; `service` is the empty string for other roles.
     #[must_use]
     pub fn live(role: &str, name: &str, address: &str, domain: &str, service: &str) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The list, with the versions it went through.
+/// The instance list with its versions that are not yet visible.
 #[derive(Clone, Debug)]
 pub struct List {
     inner: Arc<Mutex<Inner>>,
@@ -45,28 +45,28 @@
 struct Inner {
     lag: Duration,
     outage: bool,
-    /// Number of the version that is seen now, its tag.
-    seen: u64,
+    /// Number of the visible version, sent as its `ETag`.
+    visible_version: u64,
     versions: VecDeque<(Instant, Vec<Row>)>,
 }
 
-/// Faults that can be set while it runs; absent fields stay as they are.
+/// Faults to inject at run time; absent fields leave the current value.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Control {
-    /// How late a change is seen, in milliseconds.
+    /// Delay until a change is visible, in milliseconds.
     pub lag_ms: Option<u64>,
-    /// Whether everything is refused.
+    /// Whether reads are rejected.
     pub outage: Option<bool>,
 }
 
 impl List {
-    /// An empty list whose changes are seen `lag` later.
+    /// Creates an empty list whose changes become visible after `lag`.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
         let inner = Inner {
             lag,
             outage: false,
-            seen: 0,
+            visible_version: 0,
             versions: VecDeque::from([(Instant::now(), Vec::new())]),
         };
         Self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Starts to serve it.
+    /// Starts the HTTP server.
     ///
     /// # Errors
     ///
@@ -87,36 +87,40 @@
         serve(listen, self, router).await
     }
 
-    fn change(&self, change: impl FnOnce(&mut Vec<Row>)) {
-        let mut inner = self.inner.lock().expect("the list is never poisoned");
+    fn update(&self, update: impl FnOnce(&mut Vec<Row>)) {
+        let mut inner = self.inner.lock().expect("list lock poisoned");
         let mut rows = inner
             .versions
             .back()
             .map(|(_, rows)| rows.clone())
             .unwrap_or_default();
-        change(&mut rows);
+        update(&mut rows);
         inner.versions.push_back((Instant::now(), rows));
     }
 }
 
-/// `GET /instances`.
+/// `GET /instances`: the visible version.
 #[handler]
 async fn read(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(list) = depot.get_typed::<List>().cloned() else {
         return;
     };
-    let mut inner = list.inner.lock().expect("the list is never poisoned");
+    let mut inner = list.inner.lock().expect("list lock poisoned");
     if inner.outage {
-        return text(response, StatusCode::SERVICE_UNAVAILABLE, "outage");
+        return write_text(
+            response,
+            StatusCode::SERVICE_UNAVAILABLE,
+            "simulated outage",
+        );
     }
     let lag = inner.lag;
     while inner.versions.len() > 1 && inner.versions[1].0.elapsed() >= lag {
         inner.versions.pop_front();
-        inner.seen += 1;
+        inner.visible_version += 1;
     }
-    let tag = format!("\"{}\"", inner.seen);
+    let tag = format!("\"{}\"", inner.visible_version);
     if request.header::<String>("if-none-match").as_ref() == Some(&tag) {
-        return text(response, StatusCode::NOT_MODIFIED, "");
+        return write_text(response, StatusCode::NOT_MODIFIED, "");
     }
     if let Ok(tag) = tag.parse() {
         response.headers_mut().insert("etag", tag);
@@ -131,36 +135,36 @@
         return;
     };
     let Ok(row) = request.parse_json::<Row>().await else {
-        return text(response, StatusCode::BAD_REQUEST, "not a row");
+        return write_text(response, StatusCode::BAD_REQUEST, "invalid row");
     };
-    list.change(|rows| {
+    list.update(|rows| {
         rows.retain(|old| old.name != row.name);
         rows.push(row);
     });
     response.body("{}");
 }
 
-/// `DELETE /instances/{name}`.
+/// `DELETE /instances/{name}`: removes a row.
 #[handler]
 async fn remove(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(list) = depot.get_typed::<List>().cloned() else {
         return;
     };
     let name = request.param::<String>("name").unwrap_or_default();
-    list.change(|rows| rows.retain(|row| row.name != name));
+    list.update(|rows| rows.retain(|row| row.name != name));
     response.body("{}");
 }
 
-/// `POST /control`.
+/// `POST /control`: injects faults.
 #[handler]
 async fn set_control(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(list) = depot.get_typed::<List>().cloned() else {
         return;
     };
     let Ok(new) = request.parse_json::<Control>().await else {
-        return text(response, StatusCode::BAD_REQUEST, "not a control");
+        return write_text(response, StatusCode::BAD_REQUEST, "invalid control request");
     };
-    let mut inner = list.inner.lock().expect("the list is never poisoned");
+    let mut inner = list.inner.lock().expect("list lock poisoned");
     if let Some(lag) = new.lag_ms {
         inner.lag = Duration::from_millis(lag);
     }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! An append-only log with offsets, retention, a rate limit and outages.
+//! An append-only log with offsets, retention, a rate limit and simulated outages.
 
 use {
     crate::prelude::*,
@@ -6,24 +6,24 @@
     std::io,
 };
 
-/// Most records returned by one read.
-const MOST: usize = 2000;
+/// Maximum number of records that one read returns.
+const MAX_RECORDS_PER_READ: usize = 2000;
 
-/// Longest time a read is held open, in milliseconds.
-const MOST_HOLD: u64 = 10_000;
+/// Maximum duration of a long poll, in milliseconds.
+const MAX_LONG_POLL_MS: u64 = 10_000;
 
-/// Faults that can be set while it runs; absent fields stay as they are.
+/// Faults to inject at run time; absent fields leave the current value.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Control {
-    /// Time before an append is answered, in milliseconds.
+    /// Delay of the response to an append, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Share of appends that take effect while their answer is lost.
+    /// Fraction (0 to 1) of appends that are stored but answered with an error.
     pub lose_answers: Option<f64>,
-    /// Whether everything is refused.
+    /// Whether appends and reads are rejected.
     pub outage: Option<bool>,
-    /// Appends taken per second over all streams.
+    /// Maximum number of appends per second over all streams.
     pub rate: Option<u32>,
-    /// Time after which records are dropped, in milliseconds.
+    /// Age at which records are dropped, in milliseconds.
     pub retention_ms: Option<u64>,
 }
 
@@ -36,7 +36,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    allowance: f64,
+    tokens: f64,
     appends: u64,
     control: Control,
     refilled: Instant,
@@ -52,7 +52,7 @@
 }
 
 impl Log {
-    /// An empty log; its lost answers are drawn from `seed`.
+    /// Creates an empty log; `seed` determines which responses are lost.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let control = Control {
@@ -63,7 +63,7 @@
             retention_ms: Some(86_400_000),
         };
         let inner = Inner {
-            allowance: 300.0,
+            tokens: 300.0,
             appends: 0,
             control,
             refilled: Instant::now(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Starts to serve it.
+    /// Starts the HTTP server.
     ///
     /// # Errors
     ///
@@ -98,21 +98,21 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("the log is never poisoned")
+        self.inner.lock().expect("log lock poisoned")
     }
 }
 
 impl Inner {
     fn admit(&mut self) -> bool {
         let rate = f64::from(self.control.rate.unwrap_or(300));
-        let passed = self.refilled.elapsed().as_secs_f64();
+        let elapsed = self.refilled.elapsed().as_secs_f64();
         self.refilled = Instant::now();
-        self.allowance = (self.allowance + passed * rate).min(rate);
-        if self.allowance < 1.0 {
+        self.tokens = (self.tokens + elapsed * rate).min(rate);
+        if self.tokens < 1.0 {
             self.refused += 1;
             return false;
         }
-        self.allowance -= 1.0;
+        self.tokens -= 1.0;
         self.appends += 1;
         true
     }
@@ -124,18 +124,18 @@
     }
 
     fn stream(&mut self, name: &str) -> &mut Stream {
-        let place = match self
+        let index = match self
             .streams
             .binary_search_by(|(other, _)| other.as_str().cmp(name))
         {
-            Ok(place) => place,
-            Err(place) => {
+            Ok(index) => index,
+            Err(index) => {
                 self.streams
-                    .insert(place, (name.to_string(), Stream::default()));
-                place
+                    .insert(index, (name.to_string(), Stream::default()));
+                index
             }
         };
-        &mut self.streams[place].1
+        &mut self.streams[index].1
     }
 
     fn trim(&mut self, name: &str) {
@@ -148,7 +148,7 @@
     }
 }
 
-/// `POST /streams/{name}/records`.
+/// `POST /streams/{name}/records`: appends a record.
 #[handler]
 async fn append(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(log) = depot.get_typed::<Log>().cloned() else {
@@ -156,15 +156,27 @@
     };
     let name = request.param::<String>("name").unwrap_or_default();
     let Ok(data) = request.payload_with_max_size(1 << 20).await.cloned() else {
-        return text(response, StatusCode::BAD_REQUEST, "no body");
+        return write_text(
+            response,
+            StatusCode::BAD_REQUEST,
+            "missing or oversized body",
+        );
     };
     let (offset, lost, delay) = {
         let mut inner = log.lock();
         if inner.control.outage == Some(true) {
-            return text(response, StatusCode::SERVICE_UNAVAILABLE, "outage");
+            return write_text(
+                response,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "simulated outage",
+            );
         }
         if !inner.admit() {
-            return text(response, StatusCode::TOO_MANY_REQUESTS, "rate limit");
+            return write_text(
+                response,
+                StatusCode::TOO_MANY_REQUESTS,
+                "rate limit exceeded",
+            );
         }
         let lose = inner.control.lose_answers.unwrap_or_default();
         let lost = inner.rng.random_bool(lose);
@@ -177,12 +189,16 @@
     log.added.notify_waiters();
     tokio::time::sleep(Duration::from_millis(delay)).await;
     if lost {
-        return text(response, StatusCode::GATEWAY_TIMEOUT, "answer lost");
+        return write_text(
+            response,
+            StatusCode::GATEWAY_TIMEOUT,
+            "simulated loss of the response",
+        );
     }
     response.body(json!({ "offset": offset }).to_string());
 }
 
-/// `GET /streams/{name}/records?from=0&wait_ms=500`.
+/// `GET /streams/{name}/records?from=0&wait_ms=500`: reads records with a long poll.
 #[handler]
 async fn read(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(log) = depot.get_typed::<Log>().cloned() else {
@@ -190,39 +206,48 @@
     };
     let name = request.param::<String>("name").unwrap_or_default();
     let from = request.query::<u64>("from").unwrap_or_default();
-    let hold = request
+    let poll_timeout_ms = request
         .query::<u64>("wait_ms")
         .unwrap_or_default()
-        .min(MOST_HOLD);
-    let until = tokio::time::Instant::now() + Duration::from_millis(hold);
+        .min(MAX_LONG_POLL_MS);
+    let deadline = tokio::time::Instant::now() + Duration::from_millis(poll_timeout_ms);
     loop {
         let added = log.added.notified();
         if log.lock().control.outage == Some(true) {
-            return text(response, StatusCode::SERVICE_UNAVAILABLE, "outage");
+            return write_text(
+                response,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "simulated outage",
+            );
         }
-        if let Some(body) = part(&log, &name, from, false) {
+        if let Some(body) = render_records(&log, &name, from, false) {
             response.body(body);
             return;
         }
-        if tokio::time::timeout_at(until, added).await.is_err() {
-            response.body(part(&log, &name, from, true).unwrap_or_default());
+        if tokio::time::timeout_at(deadline, added).await.is_err() {
+            response.body(render_records(&log, &name, from, true).unwrap_or_default());
             return;
         }
     }
 }
 
-/// Renders the records from `from` on; `None` if there is none and `empty` is not allowed.
-fn part(log: &Log, name: &str, from: u64, empty: bool) -> Option<String> {
+/// Renders the records from offset `from` on; `None` if there are none and `allow_empty` is false.
+fn render_records(log: &Log, name: &str, from: u64, allow_empty: bool) -> Option<String> {
     let mut inner = log.lock();
     inner.trim(name);
     let stream = inner.stream(name);
     let next = stream.first + stream.records.len() as u64;
     let start = from.max(stream.first);
-    if start >= next && !empty && from >= stream.first {
+    if start >= next && !allow_empty && from >= stream.first {
         return None;
     }
     let skip = usize::try_from(start - stream.first).unwrap_or(usize::MAX);
-    let records = stream.records.iter().skip(skip).take(MOST).zip(start..);
+    let records = stream
+        .records
+        .iter()
+        .skip(skip)
+        .take(MAX_RECORDS_PER_READ)
+        .zip(start..);
     let records = records
     .map(|((at, data), offset)| json!({"at": at, "data": BASE64_STANDARD.encode(data), "offset": offset}))
     .collect::<Vec<_>>();
@@ -230,14 +255,14 @@
     Some(body.to_string())
 }
 
-/// `POST /control`.
+/// `POST /control`: injects faults.
 #[handler]
 async fn set_control(request: &mut Request, depot: &mut Depot, response: &mut Response) {
     let Ok(log) = depot.get_typed::<Log>().cloned() else {
         return;
     };
     let Ok(new) = request.parse_json::<Control>().await else {
-        return text(response, StatusCode::BAD_REQUEST, "not a control");
+        return write_text(response, StatusCode::BAD_REQUEST, "invalid control request");
     };
     let mut inner = log.lock();
     let old = &mut inner.control;
@@ -251,7 +276,7 @@
     response.body("{}");
 }
 
-/// `GET /control`: what it has taken and refused.
+/// `GET /control`: numbers of accepted and rejected appends.
 #[handler]
 async fn get_stats(depot: &mut Depot, response: &mut Response) {
     let Ok(log) = depot.get_typed::<Log>().cloned() else {
@@ -263,8 +288,8 @@
 
 /// Milliseconds since the Unix epoch.
 fn now() -> u64 {
-    let since = SystemTime::now()
+    let unix_time = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(unix_time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/standin/src/prelude.rs
+++ b/crates/standin/src/prelude.rs
@@ -1,7 +1,7 @@
-//! Names that most modules of this package use.
+//! Common imports of this package.
 
 pub use {
-    crate::serve::{Running, serve, text},
+    crate::serve::{Running, serve, write_text},
     bytes::Bytes,
     rand::{RngExt, SeedableRng, rngs::StdRng},
     salvo::{Depot, Request, Response, Router, handler, http::StatusCode},
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins share: binding, shared state, answers.
+//! HTTP server code shared by all stand-ins.
 
 use {
     crate::prelude::*,
@@ -10,16 +10,16 @@
     tokio::task::JoinHandle,
 };
 
-/// A stand-in that runs.
+/// A running stand-in.
 #[derive(Debug)]
 pub struct Running {
-    /// Where it listens.
+    /// Address that it is bound to.
     pub address: SocketAddr,
-    /// Its server.
+    /// Task of the HTTP server.
     pub task: JoinHandle<()>,
 }
 
-/// Serves `router` with `state` at an address.
+/// Serves `router` with `state` at the address `listen`.
 ///
 /// # Errors
 ///
@@ -45,8 +45,8 @@
     Ok(Running { address, task })
 }
 
-/// Answers with a status and a text.
-pub fn text(response: &mut Response, status: StatusCode, text: &str) {
+/// Writes a response with a status and a plain text body.
+pub fn write_text(response: &mut Response, status: StatusCode, text: &str) {
     response.status_code(status);
     response.body(text.to_string());
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,30 +1,30 @@
-//! A plain service that counts what it ran.
+//! A plain service that records the calls it runs.
 
 use {crate::prelude::*, std::io};
 
-/// Faults that can be set while it runs; absent fields stay as they are.
+/// Faults to inject at run time; absent fields leave the current value.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Control {
-    /// Whether a second call with the same key is answered without running it.
+    /// Whether a repeated call with the same key is answered without running it again.
     pub deduplicate: Option<bool>,
-    /// Time each call takes, in milliseconds.
+    /// Duration of each call, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// How many of the next calls run while their answer is lost.
+    /// Number of further calls that run but whose response is cut off.
     pub lose: Option<u32>,
-    /// Whether calls are refused before they run.
+    /// Whether calls are rejected before they run.
     pub refuse: Option<bool>,
 }
 
-/// One call that was run.
+/// A call that was run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Run {
-    /// The idempotency key, empty if there was none.
+    /// The idempotency key; empty if there was none.
     pub key: String,
-    /// The path.
+    /// The request path.
     pub path: String,
 }
 
-/// The service.
+/// A plain HTTP service.
 #[derive(Clone, Debug, Default)]
 pub struct PlainService {
     inner: Arc<Mutex<Inner>>,
@@ -37,7 +37,7 @@
 }
 
 impl PlainService {
-    /// Starts to serve it.
+    /// Starts the HTTP server.
     ///
     /// # Errors
     ///
@@ -50,27 +50,27 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("the service is never poisoned")
+        self.inner.lock().expect("service lock poisoned")
     }
 }
 
-/// Any call.
+/// Handles a call on any path and method.
 #[handler]
 async fn call(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    let Ok(desk) = depot.get_typed::<PlainService>().cloned() else {
+    let Ok(service) = depot.get_typed::<PlainService>().cloned() else {
         return;
     };
     let key = request
         .header::<String>("idempotency-key")
         .unwrap_or_default();
     let path = request.uri().path().to_string();
-    let (delay, lose, number) = {
-        let mut inner = desk.lock();
+    let (delay, lose, run_number) = {
+        let mut inner = service.lock();
         if inner.control.refuse == Some(true) {
-            return text(response, StatusCode::SERVICE_UNAVAILABLE, "refused");
+            return write_text(response, StatusCode::SERVICE_UNAVAILABLE, "refused");
         }
-        let known = !key.is_empty() && inner.runs.iter().any(|run| run.key == key);
-        if !(known && inner.control.deduplicate == Some(true)) {
+        let duplicate = !key.is_empty() && inner.runs.iter().any(|run| run.key == key);
+        if !(duplicate && inner.control.deduplicate == Some(true)) {
             inner.runs.push(Run {
                 key: key.clone(),
                 path,
@@ -86,36 +86,38 @@
     };
     tokio::time::sleep(Duration::from_millis(delay)).await;
     if lose {
-        let broken = futures_util::stream::iter([Err::<Bytes, _>(io::Error::other("answer lost"))]);
-        response.stream(broken);
+        let aborted_body = futures_util::stream::iter([Err::<Bytes, _>(io::Error::other(
+            "simulated loss of the response",
+        ))]);
+        response.stream(aborted_body);
         return;
     }
     response.headers_mut().insert(
         "content-type",
         salvo::http::HeaderValue::from_static("application/json"),
     );
-    response.body(json!({"key": key, "run": number}).to_string());
+    response.body(json!({"key": key, "run": run_number}).to_string());
 }
 
-/// `GET /control`: every run.
+/// `GET /control`: all calls that were run.
 #[handler]
 async fn runs(depot: &mut Depot, response: &mut Response) {
-    let Ok(desk) = depot.get_typed::<PlainService>().cloned() else {
+    let Ok(service) = depot.get_typed::<PlainService>().cloned() else {
         return;
     };
-    response.body(json!(desk.lock().runs).to_string());
+    response.body(json!(service.lock().runs).to_string());
 }
 
-/// `POST /control`.
+/// `POST /control`: injects faults.
 #[handler]
 async fn set_control(request: &mut Request, depot: &mut Depot, response: &mut Response) {
-    let Ok(desk) = depot.get_typed::<PlainService>().cloned() else {
+    let Ok(service) = depot.get_typed::<PlainService>().cloned() else {
         return;
     };
     let Ok(new) = request.parse_json::<Control>().await else {
-        return text(response, StatusCode::BAD_REQUEST, "not a control");
+        return write_text(response, StatusCode::BAD_REQUEST, "invalid control request");
     };
-    let mut inner = desk.lock();
+    let mut inner = service.lock();
     let old = &mut inner.control;
     old.deduplicate = new.deduplicate.or(old.deduplicate);
     old.delay_ms = new.delay_ms.or(old.delay_ms);
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine does what back ends are described to do.
+//! Tests of the stand-in engine's prefix cache and batching.
 
 use {
     standin::{
@@ -8,9 +8,9 @@
     std::time::{Duration, Instant},
 };
 
-/// Cache events come late and some never do, as those of real engines.
+/// Guards against cache events that are published too early or without gaps.
 #[test]
-fn cache_events_are_late_and_have_gaps() {
+fn cache_events_are_delayed_and_have_gaps() {
     let (mut cache, begun) = (Cache::default(), Instant::now());
     for number in 0..30 {
         assert!(!cache.touch(&format!("prompt {number}"), begun));
@@ -27,10 +27,9 @@
     assert!(!sequences.contains(&9) && !sequences.contains(&29));
 }
 
-/// Memory runs out in the middle of decoding: the generation of the lowest priority
-/// that came last is preempted, and still ends whole.
+/// Guards against preempted generations that never finish once the KV cache was full.
 #[test]
-fn a_full_engine_preempts_and_loses_nothing() {
+fn preempted_generations_still_finish() {
     let shape = EngineProfile {
         capacity: 40,
         ..EngineProfile::default()
@@ -38,15 +37,15 @@
     let mut batch = Batch::new(shape);
     let now = Instant::now();
     for id in ["a", "b", "c"] {
-        batch.add(id, "m", 5, 20, 0, false);
+        batch.enqueue(id, "m", 5, 20, 0, false);
     }
     for _ in 0..200 {
         batch.step(now, false);
     }
     assert!(batch.preemptions > 0);
     for id in ["a", "b", "c"] {
-        let generation = batch.get(id).expect("it is kept for a while");
+        let generation = batch.get(id).expect("ended generations are retained");
         let progress = *generation.progress.borrow();
-        assert_eq!((progress.produced, progress.broken), (20, false));
+        assert_eq!((progress.produced, progress.aborted), (20, false));
     }
 }
