--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -106,7 +106,7 @@
             lag: Duration::from_millis(50),
             models: vec!["survey-1".to_string()],
             profile: EngineProfile {
-                step_base_us: 15_000,
+                step_base: 15_000,
                 ..EngineProfile::default()
             },
         });
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -105,12 +105,12 @@
             step_each,
         } => {
             let profile = EngineProfile {
-                max_batch: batch,
+                batch,
                 capacity,
                 cold_duration: Duration::from_millis(cold_ms),
                 cold_limit,
-                step_base_us: step_base,
-                step_per_generation_us: step_each,
+                step_base,
+                step_each,
                 ..EngineProfile::default()
             };
             let settings = Settings {
--- a/crates/standin/src/decode.rs
+++ b/crates/standin/src/decode.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EngineProfile {
     /// Maximum number of generations in the batch.
-    pub max_batch: usize,
+    pub batch: usize,
     /// KV cache capacity, in tokens.
     pub capacity: u64,
     /// Base duration of a step, in microseconds.
-    pub step_base_us: u64,
+    pub step_base: u64,
     /// Time that each generation in the batch adds to a step, in microseconds.
-    pub step_per_generation_us: u64,
+    pub step_each: u64,
     /// Time that each prefilled token adds to a step, in microseconds.
-    pub prefill_per_token_us: u64,
+    pub prefill_each: u64,
     /// Duration of the cold phase after a start.
     pub cold_duration: Duration,
     /// Maximum number of concurrent generations while cold; one more crashes the engine.
@@ -28,13 +28,13 @@
 impl Default for EngineProfile {
     fn default() -> Self {
         Self {
-            max_batch: 64,
+            batch: 64,
             capacity: 32_768,
             cold_duration: Duration::ZERO,
             cold_limit: 8,
-            prefill_per_token_us: 10,
-            step_base_us: 8_000,
-            step_per_generation_us: 150,
+            prefill_each: 10,
+            step_base: 8_000,
+            step_each: 150,
         }
     }
 }
@@ -213,9 +213,8 @@
                 .is_none_or(|ended| now.duration_since(ended) < ENDED_RETENTION)
         });
         let profile = &self.profile;
-        let micros = profile.step_base_us
-            + profile.step_per_generation_us * batch
-            + profile.prefill_per_token_us * prefill_tokens;
+        let micros =
+            profile.step_base + profile.step_each * batch + profile.prefill_each * prefill_tokens;
         Duration::from_micros(if cold { micros * 4 } else { micros })
     }
 
@@ -234,7 +233,7 @@
         for index in waiting {
             let generation = &mut self.generations[index];
             let need = generation.memory() + 1;
-            if running >= self.profile.max_batch || used + need > self.profile.capacity {
+            if running >= self.profile.batch || used + need > self.profile.capacity {
                 break;
             }
             generation.running = true;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -31,7 +31,7 @@
 /// Faults to inject at run time; absent fields leave the current value.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Control {
-    /// Simulates a restart: the engine is cold again.
+    /// Makes it cold again, as after a restart; its generations stay.
     pub cold: Option<bool>,
     /// Whether it reports that it is leaving.
     pub leaving: Option<bool>,
