--- a/crates/caller/src/completion.rs
+++ b/crates/caller/src/completion.rs
@@ -8,7 +8,7 @@
     finish_reason: Value,
     envelope: Map<String, Value>,
     text: String,
-    tokens: u32,
+    completion_tokens: u32,
 }
 
 impl CompletionBuilder {
@@ -19,7 +19,7 @@
     /// `data` is not a JSON object.
     pub fn push_token(&mut self, data: &[u8]) -> Result<(), serde_json::Error> {
         let mut token = serde_json::from_slice::<Map<String, Value>>(data)?;
-        self.tokens += 1;
+        self.completion_tokens += 1;
         if let Some(choice) = token.get("choices").and_then(|choices| choices.get(0)) {
             let text = choice
                 .get("text")
@@ -38,9 +38,9 @@
         Ok(())
     }
 
-    /// Returns the response object; `prompt` is the prompt length in tokens.
+    /// Returns the response object; `prompt_tokens` is the prompt length in tokens.
     #[must_use]
-    pub fn build(mut self, chat: bool, prompt: u32) -> Value {
+    pub fn build(mut self, chat: bool, prompt_tokens: u32) -> Value {
         let (object, choice) = if chat {
             let message = json!({"role": "assistant", "content": self.text});
             (
@@ -58,9 +58,9 @@
         self.envelope.insert(
             "usage".to_string(),
             json!({
-              "prompt_tokens": prompt,
-              "completion_tokens": self.tokens,
-              "total_tokens": prompt + self.tokens,
+              "prompt_tokens": prompt_tokens,
+              "completion_tokens": self.completion_tokens,
+              "total_tokens": prompt_tokens + self.completion_tokens,
             }),
         );
         Value::Object(self.envelope)
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP and server-sent events towards callers.
+//! HTTP and server-sent events (SSE) interface for callers.
 
 pub mod call;
 pub mod completion;
--- a/crates/standin/src/decode.rs
+++ b/crates/standin/src/decode.rs
@@ -66,20 +66,20 @@
     /// Length of the complete output, in tokens.
     pub target: u32,
     /// When it ended, if it has.
-    pub ended: Option<Instant>,
-    arrived: u64,
+    pub ended_at: Option<Instant>,
+    sequence: u64,
     prefix_cached: bool,
     produced: u32,
     running: bool,
 }
 
 impl Generation {
-    fn memory(&self) -> u64 {
+    fn kv_tokens(&self) -> u64 {
         u64::from(self.prompt) + u64::from(self.produced)
     }
 
     fn is_live(&self) -> bool {
-        self.ended.is_none()
+        self.ended_at.is_none()
     }
 }
 
@@ -128,8 +128,8 @@
         self.arrivals += 1;
         let (progress, _) = watch::channel(Progress::default());
         self.generations.push(Generation {
-            arrived: self.arrivals,
-            ended: None,
+            sequence: self.arrivals,
+            ended_at: None,
             id: id.to_string(),
             prefix_cached,
             model: model.to_string(),
@@ -183,7 +183,7 @@
             .generations
             .iter()
             .filter(|generation| generation.running);
-        running.map(Generation::memory).sum()
+        running.map(Generation::kv_tokens).sum()
     }
 
     /// Runs one step (admission, preemption, decoding) and returns its duration.
@@ -209,7 +209,7 @@
         self.tokens += batch;
         self.generations.retain(|generation| {
             generation
-                .ended
+                .ended_at
                 .is_none_or(|ended| now.duration_since(ended) < ENDED_RETENTION)
         });
         let profile = &self.profile;
@@ -227,12 +227,12 @@
             .collect::<Vec<_>>();
         waiting.sort_by_key(|index| {
             let generation = &self.generations[*index];
-            (-generation.priority, generation.arrived)
+            (-generation.priority, generation.sequence)
         });
         let mut prefill_tokens = 0;
         for index in waiting {
             let generation = &mut self.generations[index];
-            let need = generation.memory() + 1;
+            let need = generation.kv_tokens() + 1;
             if running >= self.profile.batch || used + need > self.profile.capacity {
                 break;
             }
@@ -243,7 +243,7 @@
             prefill_tokens += if std::mem::take(&mut generation.prefix_cached) {
                 0
             } else {
-                generation.memory()
+                generation.kv_tokens()
             };
         }
         prefill_tokens
@@ -264,7 +264,7 @@
                 .iter_mut()
                 .filter(|generation| generation.running)
                 .min_by_key(|generation| {
-                    (generation.priority, std::cmp::Reverse(generation.arrived))
+                    (generation.priority, std::cmp::Reverse(generation.sequence))
                 });
             if let Some(preempted) = preempted {
                 preempted.running = false;
@@ -278,7 +278,7 @@
     if !generation.is_live() {
         return;
     }
-    generation.ended = Some(now);
+    generation.ended_at = Some(now);
     generation.running = false;
     generation
         .progress
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -42,7 +42,7 @@
 /// The engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    added: Arc<Notify>,
+    generation_added: Arc<Notify>,
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -85,7 +85,7 @@
             starts: 0,
         };
         Self {
-            added: Arc::new(Notify::new()),
+            generation_added: Arc::new(Notify::new()),
             inner: Arc::new(Mutex::new(inner)),
         }
     }
@@ -131,8 +131,11 @@
                 due += step;
                 tokio::time::sleep_until(due).await;
             } else {
-                let _ =
-                    tokio::time::timeout(Duration::from_millis(50), self.added.notified()).await;
+                let _ = tokio::time::timeout(
+                    Duration::from_millis(50),
+                    self.generation_added.notified(),
+                )
+                .await;
                 due = tokio::time::Instant::now();
             }
         }
@@ -235,7 +238,7 @@
             prefix_cached,
         );
     };
-    engine.added.notify_one();
+    engine.generation_added.notify_one();
     stream(&engine, &id, 0, chat, response);
 }
 
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -30,7 +30,7 @@
 /// The log.
 #[derive(Clone, Debug)]
 pub struct Log {
-    added: Arc<Notify>,
+    record_added: Arc<Notify>,
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -39,7 +39,7 @@
     tokens: f64,
     appends: u64,
     control: Control,
-    refilled: Instant,
+    refilled_at: Instant,
     refused: u64,
     rng: StdRng,
     streams: Vec<(String, Stream)>,
@@ -66,13 +66,13 @@
             tokens: 300.0,
             appends: 0,
             control,
-            refilled: Instant::now(),
+            refilled_at: Instant::now(),
             refused: 0,
             rng: StdRng::seed_from_u64(seed),
             streams: Vec::new(),
         };
         Self {
-            added: Arc::new(Notify::new()),
+            record_added: Arc::new(Notify::new()),
             inner: Arc::new(Mutex::new(inner)),
         }
     }
@@ -105,8 +105,8 @@
 impl Inner {
     fn admit(&mut self) -> bool {
         let rate = f64::from(self.control.rate.unwrap_or(300));
-        let elapsed = self.refilled.elapsed().as_secs_f64();
-        self.refilled = Instant::now();
+        let elapsed = self.refilled_at.elapsed().as_secs_f64();
+        self.refilled_at = Instant::now();
         self.tokens = (self.tokens + elapsed * rate).min(rate);
         if self.tokens < 1.0 {
             self.refused += 1;
@@ -159,7 +159,7 @@
         return write_text(
             response,
             StatusCode::BAD_REQUEST,
-            "missing or oversized body",
+            "unreadable or oversized body",
         );
     };
     let (offset, lost, delay) = {
@@ -186,7 +186,7 @@
             inner.control.delay_ms.unwrap_or_default(),
         )
     };
-    log.added.notify_waiters();
+    log.record_added.notify_waiters();
     tokio::time::sleep(Duration::from_millis(delay)).await;
     if lost {
         return write_text(
@@ -212,7 +212,7 @@
         .min(MAX_LONG_POLL_MS);
     let deadline = tokio::time::Instant::now() + Duration::from_millis(poll_timeout_ms);
     loop {
-        let added = log.added.notified();
+        let added = log.record_added.notified();
         if log.lock().control.outage == Some(true) {
             return write_text(
                 response,
@@ -272,7 +272,7 @@
     old.rate = new.rate.or(old.rate);
     old.retention_ms = new.retention_ms.or(old.retention_ms);
     drop(inner);
-    log.added.notify_waiters();
+    log.record_added.notify_waiters();
     response.body("{}");
 }
 
