--- a/crates/caller/tests/handles.rs
+++ b/crates/caller/tests/handles.rs
@@ -37,7 +37,10 @@
 
     /// Guards against forged handles: arbitrary text, or a valid handle with one changed byte.
     #[test]
-    fn arbitrary_or_altered_handles_are_rejected(text in ".{0,200}", place in any::<prop::sample::Index>()) {
+    fn arbitrary_or_altered_handles_are_rejected(
+        text in ".{0,200}",
+        place in any::<prop::sample::Index>(),
+    ) {
         prop_assert_eq!(Handle::parse(&SECRET, &[1; 32], &text), None);
         let mut handle = Handle::prefix(&SECRET, &[1; 32], "e", generation::Id(7)).into_bytes();
         let place = place.index(handle.len());
