--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP and server-sent events towards callers.
+//! HTTP and server-sent events (SSE) interface for callers.
 
 pub mod call;
-pub mod collect;
+pub mod completion;
 pub mod error;
 pub mod events;
 pub mod generation;
@@ -11,4 +11,4 @@
 pub mod problem;
 pub mod server;
 
-pub use {error::Error, inbound::Inbound, server::Gate};
+pub use {error::Error, inbound::InboundRequest, server::HandlerState};
--- a/crates/caller/src/prelude.rs
+++ b/crates/caller/src/prelude.rs
@@ -1,13 +1,13 @@
-//! Names that most modules of this package use.
+//! Common imports of this package.
 
 pub use {
     crate::{
         error::Error,
-        events::Events,
+        events::EventStream,
         handle::Handle,
-        inbound::{Ask, Inbound, Payload, Piece},
+        inbound::{InboundRequest, Payload, RequestKind, ResponseEvent},
         problem::Problem,
-        server::Gate,
+        server::HandlerState,
     },
     bytes::Bytes,
     decision::{
--- a/crates/carawayhead/src/daemon/exchange.rs
+++ b/crates/carawayhead/src/daemon/exchange.rs
@@ -6,11 +6,11 @@
 #[derive(Debug)]
 pub struct Exchange {
     /// The request as received from the caller.
-    pub ask: Ask,
+    pub ask: RequestKind,
     /// Request id for log lines.
     pub id: Uuid,
     /// Channel for the pieces of the answer.
-    pub outlet: Sender<Piece>,
+    pub outlet: Sender<ResponseEvent>,
     /// Task of the current connection to an endpoint.
     task: Option<AbortHandle>,
 }
@@ -18,7 +18,7 @@
 impl Exchange {
     /// Creates an exchange that is not connected to an endpoint.
     #[must_use]
-    pub const fn new(ask: Ask, id: Uuid, outlet: Sender<Piece>) -> Self {
+    pub const fn new(ask: RequestKind, id: Uuid, outlet: Sender<ResponseEvent>) -> Self {
         Self {
             ask,
             id,
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -11,7 +11,7 @@
     },
     crate::prelude::*,
     caller::{
-        Gate,
+        HandlerState,
         server::{self, Pem},
     },
     peer::{Hello, IncomingRequest, RequestSocket},
@@ -73,7 +73,7 @@
     pub(super) events: Sender<Event>,
     pub(super) exchanges: SecondaryMap<request::Key, Exchange>,
     inbox: Receiver<Event>,
-    inbound: Receiver<Inbound>,
+    inbound: Receiver<InboundRequest>,
     pub(super) link: Option<RequestSocket>,
     longest_iteration: Duration,
     ready: Arc<AtomicBool>,
@@ -94,14 +94,14 @@
     let client = Client::new(CONNECT_TIMEOUT);
     let ready = Arc::new(AtomicBool::new(false));
     let shared = SharedStatus::default();
-    let gate = Gate {
-        body_limit: settings.caller.body_limit,
-        buffer: settings.caller.buffer,
+    let handler_state = HandlerState {
+        max_body_bytes: settings.caller.body_limit,
+        event_buffer_len: settings.caller.buffer,
         inbound: sender,
         ready: Arc::clone(&ready),
-        secret: settings.caller.handle_secret,
+        handle_secret: settings.caller.handle_secret,
     };
-    let listener = server::listen(gate, &settings.caller.listen, pem(&settings)?)
+    let listener = server::listen(handler_state, &settings.caller.listen, pem(&settings)?)
         .await
         .map_err(|error| Error::Listen(settings.caller.listen.clone(), error.to_string()))?;
     let timeline = Arc::new(Mutex::new(Timeline::default()));
@@ -325,16 +325,16 @@
         self.longest_iteration = begun.elapsed();
     }
 
-    fn handle_request(&mut self, inbound: Inbound) {
+    fn handle_request(&mut self, inbound: InboundRequest) {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let wait = inbound
-            .wait
+            .timeout
             .unwrap_or(self.state.limits.deadline)
             .min(self.state.limits.deadline);
         let arrival = Arrival {
             credential: inbound.credential,
             deadline: now.after(wait),
-            work: self.work(&inbound.ask),
+            work: self.work(&inbound.kind),
         };
         self.record(TimelineEntry {
             what: "arrived".to_string(),
@@ -343,8 +343,10 @@
             ..TimelineEntry::default()
         });
         let key = self.state.arrive(now, wall, arrival, &mut self.actions);
-        self.exchanges
-            .insert(key, Exchange::new(inbound.ask, inbound.id, inbound.outlet));
+        self.exchanges.insert(
+            key,
+            Exchange::new(inbound.kind, inbound.id, inbound.event_sender),
+        );
         self.perform_actions();
         self.state.flush(now, &mut self.actions);
         self.perform_actions();
@@ -401,9 +403,9 @@
         }
     }
 
-    fn work(&self, ask: &Ask) -> Work {
+    fn work(&self, ask: &RequestKind) -> Work {
         match ask {
-            Ask::Call {
+            RequestKind::Call {
                 order,
                 payload,
                 service,
@@ -412,7 +414,7 @@
                 order: *order,
                 service: service.clone(),
             },
-            Ask::Generation {
+            RequestKind::Generation {
                 limit,
                 model,
                 prompt,
@@ -422,7 +424,7 @@
                 model: model.clone(),
                 prompt: *prompt,
             },
-            Ask::Resume {
+            RequestKind::Resume {
                 endpoint,
                 generation,
                 next,
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -41,7 +41,7 @@
                     let sent = self
                         .exchanges
                         .get(key)
-                        .map(|to| to.outlet.try_send(Piece::Token(index, data)));
+                        .map(|to| to.outlet.try_send(ResponseEvent::Token(index, data)));
                     if let Some(Err(error)) = sent {
                         failed.push((key, error));
                     }
@@ -82,7 +82,11 @@
     /// The connection is closed once the buffered pieces are sent. The generation is kept for
     /// the grace time, so that the caller can resume it with `Last-Event-ID`. This bounds the
     /// memory used for slow callers.
-    fn disconnect_caller(&mut self, key: request::Key, error: &mpsc::error::TrySendError<Piece>) {
+    fn disconnect_caller(
+        &mut self,
+        key: request::Key,
+        error: &mpsc::error::TrySendError<ResponseEvent>,
+    ) {
         if let Some(exchange) = self.exchanges.get_mut(key) {
             if matches!(error, mpsc::error::TrySendError::Full(_)) {
                 log::warn!(request:% = exchange.id; "disconnecting a caller that reads too slowly: response buffer full");
@@ -141,7 +145,7 @@
             ..TimelineEntry::default()
         });
         if let Err(mpsc::error::TrySendError::Full(piece)) =
-            exchange.outlet.try_send(Piece::End(outcome))
+            exchange.outlet.try_send(ResponseEvent::End(outcome))
         {
             // The buffer is full of unread tokens. The end is sent once there is room for it,
             // because without it a complete answer would look truncated.
@@ -231,20 +235,20 @@
             return;
         };
         let task = match &mut exchange.ask {
-            Ask::Call { payload, .. } => {
+            RequestKind::Call { payload, .. } => {
                 let call = service::Call {
                     attempt,
                     body: payload.body.clone(),
                     idempotent,
-                    key: payload.key.clone(),
-                    media: payload.media.clone(),
+                    key: payload.idempotency_key.clone(),
+                    media: payload.content_type.clone(),
                     method: payload.method.clone(),
                     path: payload.path.clone(),
                     wait,
                 };
                 tokio::spawn(service::call(client, address, call, events))
             }
-            Ask::Generation { body, path, .. } => {
+            RequestKind::Generation { body, path, .. } => {
                 body.insert("model".to_string(), json!(model));
                 body.insert("priority".to_string(), json!(priority));
                 body.insert("stream".to_string(), json!(true));
@@ -256,7 +260,7 @@
                 };
                 tokio::spawn(engine::start(client, address, start, events))
             }
-            Ask::Resume { .. } => return,
+            RequestKind::Resume { .. } => return,
         };
         exchange.attach(task.abort_handle());
     }
@@ -279,7 +283,7 @@
             detail: format!("as {}", attempt.generation),
             ..TimelineEntry::default()
         };
-        let piece = Piece::Begun(name, attempt.generation);
+        let piece = ResponseEvent::Started(name, attempt.generation);
         if exchange.outlet.try_send(piece).is_err() {
             log::debug!(request:% = exchange.id; "endpoint name not delivered: caller disconnected or response buffer full");
         }
