--- a/crates/carawayhead/tests/callers.rs
+++ b/crates/carawayhead/tests/callers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use {
-    common::{Ask, Builder},
+    common::{Builder, CallerRequest},
     rustls::{
         ClientConfig, RootCertStore,
         pki_types::{CertificateDer, ServerName, pem::PemObject as _},
@@ -53,9 +53,9 @@
 /// What they leave behind must not stay: the counter behind them waits for the
 /// memory and the turn that they hold.
 #[tokio::test]
-async fn callers_who_vanish_leave_nothing_behind() {
+async fn disconnected_callers_release_their_resources() {
     let cluster = Builder {
-        engine: vec!["--step-base=20000"],
+        engine_flags: vec!["--step-base=20000"],
         limits: "grace = \"100ms\"",
         ..Builder::default()
     }
@@ -75,15 +75,15 @@
     for _ in 0..5 {
         drop(
             cluster
-                .ask(0, Ask::survey(100_000, true))
+                .send(0, CallerRequest::generation(100_000, true))
                 .await
                 .expect("an answer"),
         );
     }
-    let (status, _) = cluster.whole(0, Ask::survey(3, false)).await;
+    let (status, _) = cluster.call(0, CallerRequest::generation(3, false)).await;
     assert_eq!(status, 200);
     cluster
-        .until("nothing is in progress", async || {
+        .wait_until("nothing is in progress", async || {
             let status = cluster.get(&cluster.instances[0].operator, "/status").await;
             status["requests"] == json!(0)
         })
--- a/crates/carawayhead/tests/common/mod.rs
+++ b/crates/carawayhead/tests/common/mod.rs
@@ -15,16 +15,16 @@
     },
 };
 
-pub const KEY: &str = "workshop-key";
-const SECRET: &str = "4242424242424242424242424242424242424242424242424242424242424242";
+pub const API_KEY: &str = "workshop-key";
+const HANDLE_SECRET: &str = "4242424242424242424242424242424242424242424242424242424242424242";
 
 /// Longest time that a condition is waited for; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A process that is killed when its test ends.
 pub struct Process {
     pub address: String,
-    pub fellow: String,
+    pub peer_address: String,
     pub name: String,
     pub operator: String,
     child: Child,
@@ -46,24 +46,28 @@
         BufReader::new(output)
             .read_line(&mut line)
             .expect("the process prints its address");
-        let word = |prefix: &str| {
-            let word = line
+        let address_after = |prefix: &str| {
+            let address = line
                 .split_whitespace()
                 .find_map(|word| word.strip_prefix(prefix));
-            word.unwrap_or_default().to_string()
+            address.unwrap_or_default().to_string()
         };
-        let plain = line
+        let plain_address = line
             .trim()
             .strip_prefix("listening ")
             .unwrap_or_default()
             .to_string();
-        let caller = word("caller=");
+        let caller_address = address_after("caller=");
         Self {
-            address: if caller.is_empty() { plain } else { caller },
+            address: if caller_address.is_empty() {
+                plain_address
+            } else {
+                caller_address
+            },
             child,
-            fellow: word("fellow="),
+            peer_address: address_after("fellow="),
             name: name.to_string(),
-            operator: word("operator="),
+            operator: address_after("operator="),
         }
     }
 
@@ -77,7 +81,7 @@
         self.child.wait().expect("the process can be waited for");
     }
 
-    pub fn exited(&mut self) -> Option<bool> {
+    pub fn exit_success(&mut self) -> Option<bool> {
         let status = self
             .child
             .try_wait()
@@ -116,23 +120,23 @@
 
 /// What a test wants to run.
 pub struct Builder {
-    pub engine: Vec<&'static str>,
-    pub engines: Vec<&'static str>,
-    pub instances: Vec<&'static str>,
+    pub engine_flags: Vec<&'static str>,
+    pub engine_domains: Vec<&'static str>,
+    pub instance_domains: Vec<&'static str>,
     pub limits: &'static str,
     pub tls: bool,
-    pub services: Vec<&'static str>,
+    pub service_domains: Vec<&'static str>,
 }
 
 impl Default for Builder {
     fn default() -> Self {
         Self {
-            engine: Vec::new(),
-            engines: vec!["north", "south"],
-            instances: vec!["north", "south"],
+            engine_flags: Vec::new(),
+            engine_domains: vec!["north", "south"],
+            instance_domains: vec!["north", "south"],
             limits: "",
             tls: false,
-            services: vec!["north"],
+            service_domains: vec!["north"],
         }
     }
 }
@@ -153,36 +157,40 @@
             limits: self.limits.to_string(),
             tls: self.tls,
         };
-        for (number, domain) in self.engines.iter().enumerate() {
+        for (number, domain) in self.engine_domains.iter().enumerate() {
             let engine = format!("engine-{number}");
-            let engine = cluster.add_engine(&engine, domain, &self.engine).await;
+            let engine = cluster
+                .add_engine(&engine, domain, &self.engine_flags)
+                .await;
             cluster.engines.push(engine);
         }
-        for (number, domain) in self.services.iter().enumerate() {
+        for (number, domain) in self.service_domains.iter().enumerate() {
             let service = cluster.add_service(&format!("desk-{number}"), domain).await;
             cluster.services.push(service);
         }
-        cluster.append(&records()).await;
-        for (number, domain) in self.instances.iter().enumerate() {
-            cluster.join(&format!("entry-{number}"), domain).await;
+        cluster.append(&initial_config()).await;
+        for (number, domain) in self.instance_domains.iter().enumerate() {
+            cluster
+                .add_instance(&format!("entry-{number}"), domain)
+                .await;
         }
         for number in 0..cluster.instances.len() {
-            cluster.ready(number).await;
+            cluster.wait_until_ready(number).await;
         }
         cluster
     }
 }
 
-fn records() -> String {
-    let hash = blake3::hash(KEY.as_bytes()).to_hex();
-    let facts = (0..8).map(|number| {
+fn initial_config() -> String {
+    let hash = blake3::hash(API_KEY.as_bytes()).to_hex();
+    let endpoints = (0..8).map(|number| {
         format!("[endpoint.engine-{number}]\ncold_limit = 1000\ncold_time = \"0ms\"\n")
     });
     format!(
         "schema = 1\n[customer.workshop]\nkey_hashes = [\"{hash}\"]\n\
      [route.survey]\nversions = [{{ model = \"survey-1\" }}]\n[service.desk]\nidempotent = [\"/lookup\"]\n{}\
      [endpoint.desk-0]\ncold_limit = 1000\n",
-        facts.collect::<String>()
+        endpoints.collect::<String>()
     )
 }
 
@@ -207,14 +215,15 @@
     }
 
     /// Starts one more daemon.
-    pub async fn join(&mut self, name: &str, domain: &str) {
+    pub async fn add_instance(&mut self, name: &str, domain: &str) {
         let log = self.log.address.clone();
-        self.join_with(name, domain, &log).await;
+        self.add_instance_with_log(name, domain, &log).await;
     }
 
     /// Starts one more daemon that cannot reach the log.
-    pub async fn join_cut_off(&mut self, name: &str, domain: &str) {
-        self.join_with(name, domain, "127.0.0.1:9").await;
+    pub async fn add_instance_without_log(&mut self, name: &str, domain: &str) {
+        self.add_instance_with_log(name, domain, "127.0.0.1:9")
+            .await;
     }
 
     /// Takes a row out of the instance list.
@@ -231,7 +240,7 @@
         reply.whole(1 << 20).await.expect("the answer arrives");
     }
 
-    async fn join_with(&mut self, name: &str, domain: &str, log: &str) {
+    async fn add_instance_with_log(&mut self, name: &str, domain: &str, log: &str) {
         let certificate = Command::new(env!("CARGO_BIN_EXE_carawayhead"))
             .args(["certificate", name, "--folder"])
             .arg(&self.folder)
@@ -246,7 +255,7 @@
         let file = self.folder.join(format!("{name}.toml"));
         let settings = format!(
             "[instance]\nname = \"{name}\"\ndomain = \"{domain}\"\n\
-       [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{SECRET}\"\n{tls}\
+       [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{HANDLE_SECRET}\"\n{tls}\
        [operator]\nlisten = \"127.0.0.1:0\"\ndrain_notice = \"200ms\"\n\
        [platform]\nlog = \"{}\"\nlist = \"{}\"\nlist_interval = \"50ms\"\n\
              [fellow]\nlisten = \"127.0.0.1:0\"\nauthority = \"{keys}/authority.pem\"\n\
@@ -265,7 +274,7 @@
     pub async fn register(&self, process: &Process, domain: &str, role: &str, state: &str) {
         let entry = role == "entry";
         let address = if entry {
-            &process.fellow
+            &process.peer_address
         } else {
             &process.address
         };
@@ -291,10 +300,10 @@
     }
 
     /// Waits until a daemon is ready and has a load report of every engine.
-    pub async fn ready(&self, number: usize) {
+    pub async fn wait_until_ready(&self, number: usize) {
         let address = &self.instances[number].operator;
         let engines = self.engines.len() + self.services.len();
-        self.until("the daemon is ready", async || {
+        self.wait_until("the daemon is ready", async || {
             let status = self.get(address, "/status").await;
             status["ready"] == json!(true) && status["usable"] == json!(engines)
         })
@@ -302,9 +311,9 @@
     }
 
     /// Waits until every daemon has the records below this offset in force.
-    pub async fn in_force(&self, next: u64) {
+    pub async fn wait_for_config(&self, next: u64) {
         for instance in &self.instances {
-            self.until("the records are in force", async || {
+            self.wait_until("the records are in force", async || {
                 self.get(&instance.operator, "/status").await["config_next_offset"] == json!(next)
             })
             .await;
@@ -312,10 +321,13 @@
     }
 
     /// Waits for a condition; failing to reach it is the only use of time.
-    pub async fn until(&self, what: &str, condition: impl AsyncFn() -> bool) {
+    pub async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
         let begun = Instant::now();
         while !condition().await {
-            assert!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
+            assert!(
+                begun.elapsed() < WAIT_TIMEOUT,
+                "waited in vain until {what}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -350,12 +362,16 @@
     }
 
     /// Sends a request to a daemon.
-    pub async fn ask(&self, number: usize, request: Ask) -> Result<Reply, endpoint::Error> {
+    pub async fn send(
+        &self,
+        number: usize,
+        request: CallerRequest,
+    ) -> Result<Reply, endpoint::Error> {
         let mut built = Request::builder()
             .method(request.method)
             .uri(&request.path)
             .header("host", "test")
-            .header("authorization", format!("Bearer {KEY}"))
+            .header("authorization", format!("Bearer {API_KEY}"))
             .header("content-type", "application/json");
         for (name, value) in &request.headers {
             built = built.header(*name, value);
@@ -368,8 +384,8 @@
     }
 
     /// Begins a stream through the first daemon and reads its first events.
-    pub async fn begin(&self, tokens: u32, count: usize) -> (Reply, Events) {
-        let asked = self.ask(0, Ask::survey(tokens, true)).await;
+    pub async fn begin_stream(&self, tokens: u32, count: usize) -> (Reply, Events) {
+        let asked = self.send(0, CallerRequest::generation(tokens, true)).await;
         let mut reply = asked.expect("an answer");
         let mut events = Events::default();
         assert!(events.read(&mut reply, count).await, "the stream begins");
@@ -377,8 +393,11 @@
     }
 
     /// Sends a request and reads its whole answer.
-    pub async fn whole(&self, number: usize, request: Ask) -> (u16, Value) {
-        let reply = self.ask(number, request).await.expect("the daemon answers");
+    pub async fn call(&self, number: usize, request: CallerRequest) -> (u16, Value) {
+        let reply = self
+            .send(number, request)
+            .await
+            .expect("the daemon answers");
         let status = reply.status().as_u16();
         let body = reply
             .whole(1 << 24)
@@ -388,7 +407,7 @@
     }
 
     /// Orders that the services ran, by key.
-    pub async fn runs(&self, key: &str) -> usize {
+    pub async fn count_runs(&self, key: &str) -> usize {
         let mut count = 0;
         for service in &self.services {
             let runs = self.get(&service.address, "/control").await;
@@ -406,16 +425,16 @@
 }
 
 /// A request to a daemon.
-pub struct Ask {
+pub struct CallerRequest {
     body: String,
     headers: Vec<(&'static str, String)>,
     method: &'static str,
     path: String,
 }
 
-impl Ask {
+impl CallerRequest {
     /// A generation of this many tokens.
-    pub fn survey(tokens: u32, stream: bool) -> Self {
+    pub fn generation(tokens: u32, stream: bool) -> Self {
         let body =
             json!({"model": "survey", "prompt": format!("tokens={tokens}"), "stream": stream});
         Self::post("/v1/completions", &body.to_string())
@@ -442,7 +461,7 @@
 }
 
 /// A fresh order key.
-pub fn key() -> String {
+pub fn new_idempotency_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
@@ -477,7 +496,7 @@
     }
 
     /// Reads to the end.
-    pub async fn finish(&mut self, reply: &mut Reply) {
+    pub async fn read_to_end(&mut self, reply: &mut Reply) {
         self.read(reply, usize::MAX).await;
     }
 
@@ -493,6 +512,6 @@
 }
 
 /// The words of a whole generation.
-pub fn expected(tokens: u32) -> Vec<String> {
+pub fn expected_words(tokens: u32) -> Vec<String> {
     (0..tokens).map(|index| format!("w{index}")).collect()
 }
--- a/crates/carawayhead/tests/leaving.rs
+++ b/crates/carawayhead/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use {
-    common::{Ask, Builder, Events, KEY, expected},
+    common::{API_KEY, Builder, CallerRequest, Events, expected_words},
     rustix::process::Signal,
     serde_json::json,
     std::time::Duration,
@@ -16,20 +16,20 @@
 /// An instance is told to stop while it streams. Stopping at once would cut the
 /// report; it finishes what it has begun, and then ends well.
 #[tokio::test]
-async fn a_planned_stop_cuts_no_stream() {
+async fn planned_stop_completes_running_streams() {
     let mut cluster = Builder {
-        engine: vec!["--step-base=20000"],
+        engine_flags: vec!["--step-base=20000"],
         ..Builder::default()
     }
     .start()
     .await;
-    let (mut reply, mut events) = cluster.begin(60, 5).await;
+    let (mut reply, mut events) = cluster.begin_stream(60, 5).await;
     cluster.instances[0].signal(Signal::TERM);
-    events.finish(&mut reply).await;
-    assert_eq!(events.words(), (expected(60), true));
+    events.read_to_end(&mut reply).await;
+    assert_eq!(events.words(), (expected_words(60), true));
     let mut ended = None;
     for _ in 0..500 {
-        ended = cluster.instances[0].exited();
+        ended = cluster.instances[0].exit_success();
         if ended.is_some() {
             break;
         }
@@ -42,9 +42,9 @@
 /// with the domain; new work goes elsewhere from every instance, that of the
 /// domain itself included, and running streams there are not cut.
 #[tokio::test]
-async fn a_domain_taken_out_gets_no_new_work_and_keeps_its_streams() {
+async fn disabled_domain_gets_no_new_requests_and_keeps_streams() {
     let cluster = Builder {
-        engine: vec!["--step-base=20000"],
+        engine_flags: vec!["--step-base=20000"],
         ..Builder::default()
     }
     .start()
@@ -53,7 +53,7 @@
     for number in 0..4 {
         streams.push(
             cluster
-                .ask(number % 2, Ask::survey(60, true))
+                .send(number % 2, CallerRequest::generation(60, true))
                 .await
                 .expect("an answer"),
         );
@@ -61,18 +61,20 @@
     cluster
         .append("schema = 1\n[domain.south]\nstate = \"out\"\n")
         .await;
-    cluster.in_force(2).await;
+    cluster.wait_for_config(2).await;
     let before = cluster.get(&cluster.engines[1].address, "/control").await["starts"].clone();
     for number in 0..10 {
-        let (status, _) = cluster.whole(number % 2, Ask::survey(2, false)).await;
+        let (status, _) = cluster
+            .call(number % 2, CallerRequest::generation(2, false))
+            .await;
         assert_eq!(status, 200);
     }
     let after = cluster.get(&cluster.engines[1].address, "/control").await["starts"].clone();
     assert_eq!(before, after);
     for mut reply in streams {
         let mut events = Events::default();
-        events.finish(&mut reply).await;
-        assert_eq!(events.words(), (expected(60), true));
+        events.read_to_end(&mut reply).await;
+        assert_eq!(events.words(), (expected_words(60), true));
     }
 }
 
@@ -80,15 +82,15 @@
 /// from the platform. It would go on sending work to a domain that was taken out;
 /// it hears of the record from a fellow instance instead.
 #[tokio::test]
-async fn an_instance_without_the_log_follows_through_a_fellow() {
+async fn instance_without_log_gets_config_from_a_peer() {
     let mut cluster = Builder::default().start().await;
-    cluster.join_cut_off("entry-9", "north").await;
+    cluster.add_instance_without_log("entry-9", "north").await;
     cluster
         .append("schema = 1\n[domain.south]\nstate = \"out\"\n")
         .await;
     let address = &cluster.instances[2].operator;
     cluster
-        .until("the record came through a fellow", async || {
+        .wait_until("the record came through a fellow", async || {
             let status = cluster.get(address, "/status").await;
             status["config_next_offset"] == json!(2)
                 && status["config_stale_ms"].as_u64() < Some(3000)
@@ -100,10 +102,10 @@
 /// requests that come at once through three instances would throw it over at
 /// each start; they are let in by parts that sum up to the two.
 #[tokio::test]
-async fn a_cold_engine_gets_no_more_than_it_bears_over_all_instances() {
+async fn cold_limit_holds_across_all_instances() {
     let mut cluster = Builder {
-        engines: vec!["north"],
-        instances: vec!["north", "south", "north"],
+        engine_domains: vec!["north"],
+        instance_domains: vec!["north", "south", "north"],
         ..Builder::default()
     }
     .start()
@@ -114,20 +116,20 @@
     cluster
         .append("schema = 1\n[endpoint.cold]\ncold_limit = 2\ncold_time = \"2s\"\n")
         .await;
-    cluster.in_force(3).await;
+    cluster.wait_for_config(3).await;
     let flags = ["--cold-ms=1500", "--cold-limit=2", "--step-base=5000"];
     let engine = cluster.add_engine("cold", "south", &flags).await;
     for instance in &cluster.instances {
         cluster
-            .until("the engine is listed", async || {
+            .wait_until("the engine is listed", async || {
                 cluster.get(&instance.operator, "/status").await["endpoints"] == json!(3)
             })
             .await;
     }
-    let ask = |number: usize| cluster.whole(number % 3, Ask::survey(8, false));
+    let send = |number: usize| cluster.call(number % 3, CallerRequest::generation(8, false));
     for _ in 0..4 {
-        let first = async { tokio::join!(ask(0), ask(1), ask(2)) };
-        let second = async { tokio::join!(ask(3), ask(4), ask(5)) };
+        let first = async { tokio::join!(send(0), send(1), send(2)) };
+        let second = async { tokio::join!(send(3), send(4), send(5)) };
         let (first, second) = tokio::join!(first, second);
         assert_eq!([first.0.0, first.1.0, first.2.0], [200; 3]);
         assert_eq!([second.0.0, second.1.0, second.2.0], [200; 3]);
@@ -140,7 +142,7 @@
 /// An engine begins to leave and says so itself, before the instance list does.
 /// Work sent there in between would be refused or lost; it gets none.
 #[tokio::test]
-async fn an_engine_that_says_it_is_leaving_gets_no_new_work() {
+async fn leaving_engine_gets_no_new_requests() {
     let cluster = Builder::default().start().await;
     cluster
         .post(
@@ -151,13 +153,15 @@
         .await;
     for instance in &cluster.instances {
         cluster
-            .until("the engine is passed over", async || {
+            .wait_until("the engine is passed over", async || {
                 cluster.get(&instance.operator, "/status").await["usable"] == json!(2)
             })
             .await;
     }
     for number in 0..6 {
-        let (status, _) = cluster.whole(number % 2, Ask::survey(2, false)).await;
+        let (status, _) = cluster
+            .call(number % 2, CallerRequest::generation(2, false))
+            .await;
         assert_eq!(status, 200);
     }
     let stats = cluster.get(&cluster.engines[0].address, "/control").await;
@@ -168,7 +172,7 @@
 /// Without what they said it would know no customer and turn everybody away; it
 /// starts from a snapshot that the others have appended in the meantime.
 #[tokio::test]
-async fn an_instance_starts_after_the_records_have_aged_out() {
+async fn instance_starts_from_snapshot_after_records_expired() {
     let mut cluster = Builder {
         limits: "snapshot_interval = \"1s\"",
         ..Builder::default()
@@ -185,25 +189,25 @@
     for stream in ["config", "snapshots"] {
         let path = format!("/streams/{stream}/records?from=0");
         cluster
-            .until("records have aged out", async || {
+            .wait_until("records have aged out", async || {
                 cluster.get(&cluster.log.address, &path).await["first"].as_u64() > Some(0)
             })
             .await;
     }
-    cluster.join("entry-7", "north").await;
-    cluster.ready(2).await;
-    let (status, _) = cluster.whole(2, Ask::survey(3, false)).await;
+    cluster.add_instance("entry-7", "north").await;
+    cluster.wait_until_ready(2).await;
+    let (status, _) = cluster.call(2, CallerRequest::generation(3, false)).await;
     assert_eq!(status, 200);
 }
 
 /// An instance is told to stop while a caller is still sending its request. It was
 /// accepted, so it must be answered, although nothing seems to be in progress.
 #[tokio::test]
-async fn a_request_that_is_still_coming_at_a_planned_stop_is_answered() {
+async fn partially_received_request_is_answered_during_planned_stop() {
     let cluster = Builder::default().start().await;
     let body = json!({"model": "survey", "prompt": "tokens=2"}).to_string();
     let head = format!(
-        "POST /v1/completions HTTP/1.1\r\nhost: test\r\nauthorization: Bearer {KEY}\r\n\
+        "POST /v1/completions HTTP/1.1\r\nhost: test\r\nauthorization: Bearer {API_KEY}\r\n\
          connection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
--- a/crates/carawayhead/tests/operators.rs
+++ b/crates/carawayhead/tests/operators.rs
@@ -29,7 +29,7 @@
 /// would undo the first unknowingly; it is told which record came first, nothing
 /// of it is in force, and every instance has the first one's.
 #[tokio::test]
-async fn the_second_of_two_racing_operators_is_told_which_record_won() {
+async fn concurrent_publication_reports_the_winning_record() {
     let cluster = Builder::default().start().await;
     let log = cluster.log.address.clone();
     let shown = run(&["show", "--log", &log, "route.survey"]);
@@ -55,7 +55,7 @@
 /// for a failure it would be published again and lose against itself; the command
 /// looks it up and says that it is in force.
 #[tokio::test]
-async fn a_publication_whose_answer_was_lost_is_settled_by_reading() {
+async fn publication_with_lost_response_is_confirmed_by_reading_the_log() {
     let cluster = Builder::default().start().await;
     let log = cluster.log.address.clone();
     cluster
@@ -63,11 +63,11 @@
         .await;
     let drained = run(&["drain", "--log", &log, "south"]);
     assert!(drained.status.success(), "{}", text(&drained.stderr));
-    cluster.in_force(2).await;
+    cluster.wait_for_config(2).await;
 }
 
 #[tokio::test]
-async fn commands_end_with_the_codes_they_document() {
+async fn commands_exit_with_documented_codes() {
     let cluster = Builder::default().start().await;
     let log = cluster.log.address.clone();
     let faulty = file(
