--- a/crates/carawayhead/tests/callers.rs
+++ b/crates/carawayhead/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers who come over TLS, write by halves, leave, or read slowly.
+//! Callers that connect over TLS, send partial requests or disconnect.
 
 mod common;
 
@@ -28,8 +28,8 @@
     let mut roots = RootCertStore::empty();
     let authority = CertificateDer::from_pem_file(cluster.folder.join("authority.pem"));
     roots
-        .add(authority.expect("an authority was made"))
-        .expect("it can be trusted");
+        .add(authority.expect("the authority certificate is valid"))
+        .expect("the root store accepts the authority");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
@@ -38,20 +38,28 @@
         .with_no_client_auth();
     let stream = TcpStream::connect(&cluster.instances[0].address)
         .await
-        .expect("a listener");
-    let name = ServerName::try_from("carawayhead").expect("a valid name");
+        .expect("the instance accepts connections");
+    let name = ServerName::try_from("carawayhead").expect("the server name is valid");
     let connector = TlsConnector::from(Arc::new(config));
-    let mut stream = connector.connect(name, stream).await.expect("a handshake");
+    let mut stream = connector
+        .connect(name, stream)
+        .await
+        .expect("the handshake succeeds");
     let request = b"GET /readyz HTTP/1.1\r\nhost: carawayhead\r\nconnection: close\r\n\r\n";
-    stream.write_all(request).await.expect("a connection");
+    stream
+        .write_all(request)
+        .await
+        .expect("the request can be written");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("an answer");
+    stream
+        .read_to_string(&mut answer)
+        .await
+        .expect("the instance responds");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-/// Callers write half a request and vanish, or ask and leave before the answer.
-/// What they leave behind must not stay: the counter behind them waits for the
-/// memory and the turn that they hold.
+/// Callers disconnect in the middle of a request or before its response. Their requests
+/// must not hold memory or concurrency slots that other callers need.
 #[tokio::test]
 async fn disconnected_callers_release_their_resources() {
     let cluster = Builder {
@@ -62,28 +70,30 @@
     .start()
     .await;
     let address = &cluster.instances[0].address;
-    for half in [
+    for partial_request in [
         "POST /v1/comp",
         "POST /v1/completions HTTP/1.1\r\ncontent-length: 90\r\n\r\n{",
     ] {
-        let mut stream = TcpStream::connect(address).await.expect("a listener");
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the instance accepts connections");
         stream
-            .write_all(half.as_bytes())
+            .write_all(partial_request.as_bytes())
             .await
-            .expect("a connection");
+            .expect("the request can be written");
     }
     for _ in 0..5 {
         drop(
             cluster
                 .send(0, CallerRequest::generation(100_000, true))
                 .await
-                .expect("an answer"),
+                .expect("the instance responds"),
         );
     }
     let (status, _) = cluster.call(0, CallerRequest::generation(3, false)).await;
     assert_eq!(status, 200);
     cluster
-        .wait_until("nothing is in progress", async || {
+        .wait_until("no request is in progress", async || {
             let status = cluster.get(&cluster.instances[0].operator, "/status").await;
             status["requests"] == json!(0)
         })
--- a/crates/carawayhead/tests/common/mod.rs
+++ b/crates/carawayhead/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Real processes for the end-to-end tests: stand-ins and daemons on loopback.
+//! Starts stand-ins and daemons as processes on loopback for the end-to-end tests.
 
-#![allow(dead_code, reason = "each test file uses its own part of the builder")]
+#![allow(dead_code, reason = "no test file uses all of these helpers")]
 
 use {
     bytes::Bytes,
@@ -18,10 +18,10 @@
 pub const API_KEY: &str = "workshop-key";
 const HANDLE_SECRET: &str = "4242424242424242424242424242424242424242424242424242424242424242";
 
-/// Longest time that a condition is waited for; far above what it takes.
+/// Bound on waiting for a condition, so that a failed test ends.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A process that is killed when its test ends.
+/// A child process, killed on drop.
 pub struct Process {
     pub address: String,
     pub peer_address: String,
@@ -81,6 +81,7 @@
         self.child.wait().expect("the process can be waited for");
     }
 
+    /// Whether the process exited successfully; `None` while it runs.
     pub fn exit_success(&mut self) -> Option<bool> {
         let status = self
             .child
@@ -99,7 +100,7 @@
     }
 }
 
-/// Stand-ins and daemons of one test.
+/// The stand-ins and daemons of one test.
 pub struct Cluster {
     pub client: Client,
     pub engines: Vec<Process>,
@@ -118,7 +119,7 @@
     arguments
 }
 
-/// What a test wants to run.
+/// The processes a test starts, by failure domain.
 pub struct Builder {
     pub engine_flags: Vec<&'static str>,
     pub engine_domains: Vec<&'static str>,
@@ -142,10 +143,10 @@
 }
 
 impl Builder {
-    /// Starts everything and waits until each daemon is ready.
+    /// Starts all processes and waits until each daemon is ready.
     pub async fn start(self) -> Cluster {
         let folder = std::env::temp_dir().join(format!("carawayhead-{}", uuid::Uuid::new_v4()));
-        std::fs::create_dir_all(&folder).expect("a folder for settings can be made");
+        std::fs::create_dir_all(&folder).expect("the settings folder can be created");
         let mut cluster = Cluster {
             client: Client::new(Duration::from_secs(2)),
             engines: Vec::new(),
@@ -195,7 +196,7 @@
 }
 
 impl Cluster {
-    /// Starts one more engine.
+    /// Starts an engine and adds it to the instance list.
     pub async fn add_engine(&self, name: &str, domain: &str, flags: &[&str]) -> Process {
         let mut rest = vec!["--model=survey-1", "--lag-ms=20"];
         if !flags.iter().any(|flag| flag.starts_with("--step-base")) {
@@ -207,26 +208,26 @@
         engine
     }
 
-    /// Starts one more service.
+    /// Starts a service and adds it to the instance list.
     pub async fn add_service(&self, name: &str, domain: &str) -> Process {
         let service = Process::start(name, &stand_in("service", &[]));
         self.register(&service, domain, "service", "live").await;
         service
     }
 
-    /// Starts one more daemon.
+    /// Starts a daemon and adds it to the instance list.
     pub async fn add_instance(&mut self, name: &str, domain: &str) {
         let log = self.log.address.clone();
         self.add_instance_with_log(name, domain, &log).await;
     }
 
-    /// Starts one more daemon that cannot reach the log.
+    /// Starts a daemon with an unreachable log address.
     pub async fn add_instance_without_log(&mut self, name: &str, domain: &str) {
         self.add_instance_with_log(name, domain, "127.0.0.1:9")
             .await;
     }
 
-    /// Takes a row out of the instance list.
+    /// Removes an instance from the instance list.
     pub async fn unregister(&self, name: &str) {
         let request = Request::delete(format!("/instances/{name}")).header("host", "list");
         let request = request
@@ -237,7 +238,10 @@
             .send(&self.list.address, request)
             .await
             .expect("the list answers");
-        reply.whole(1 << 20).await.expect("the answer arrives");
+        reply
+            .whole(1 << 20)
+            .await
+            .expect("the response body is complete");
     }
 
     async fn add_instance_with_log(&mut self, name: &str, domain: &str, log: &str) {
@@ -270,7 +274,7 @@
         self.instances.push(instance);
     }
 
-    /// Puts a row into the instance list.
+    /// Adds a process to the instance list.
     pub async fn register(&self, process: &Process, domain: &str, role: &str, state: &str) {
         let entry = role == "entry";
         let address = if entry {
@@ -296,10 +300,10 @@
             .send(&self.log.address, request)
             .await
             .expect("the log answers");
-        assert!(reply.status().is_success(), "the log takes the record");
+        assert!(reply.status().is_success(), "the log accepts the record");
     }
 
-    /// Waits until a daemon is ready and has a load report of every engine.
+    /// Waits until a daemon is ready and every engine and service is usable.
     pub async fn wait_until_ready(&self, number: usize) {
         let address = &self.instances[number].operator;
         let engines = self.engines.len() + self.services.len();
@@ -310,29 +314,29 @@
         .await;
     }
 
-    /// Waits until every daemon has the records below this offset in force.
+    /// Waits until every daemon has applied the records below this offset.
     pub async fn wait_for_config(&self, next: u64) {
         for instance in &self.instances {
-            self.wait_until("the records are in force", async || {
+            self.wait_until("the records are applied", async || {
                 self.get(&instance.operator, "/status").await["config_next_offset"] == json!(next)
             })
             .await;
         }
     }
 
-    /// Waits for a condition; failing to reach it is the only use of time.
+    /// Polls a condition and panics if it does not hold within `WAIT_TIMEOUT`.
     pub async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while !condition().await {
             assert!(
-                begun.elapsed() < WAIT_TIMEOUT,
-                "waited in vain until {what}"
+                started.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting until {what}"
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// The JSON at an address.
+    /// Gets JSON; `Value::Null` if the request fails.
     pub async fn get(&self, address: &str, path: &str) -> Value {
         let request = Request::get(path)
             .header("host", "test")
@@ -357,11 +361,14 @@
             .send(address, request)
             .await
             .expect("the stand-in answers");
-        assert!(reply.status().is_success(), "{path} took {body}");
-        reply.whole(1 << 20).await.expect("the answer arrives");
+        assert!(reply.status().is_success(), "{path} accepts {body}");
+        reply
+            .whole(1 << 20)
+            .await
+            .expect("the response body is complete");
     }
 
-    /// Sends a request to a daemon.
+    /// Sends a request to a daemon and returns the response as soon as its head arrives.
     pub async fn send(
         &self,
         number: usize,
@@ -383,16 +390,16 @@
             .await
     }
 
-    /// Begins a stream through the first daemon and reads its first events.
+    /// Starts a stream through the first daemon and reads its first `count` events.
     pub async fn begin_stream(&self, tokens: u32, count: usize) -> (Reply, Events) {
-        let asked = self.send(0, CallerRequest::generation(tokens, true)).await;
-        let mut reply = asked.expect("an answer");
+        let sent = self.send(0, CallerRequest::generation(tokens, true)).await;
+        let mut reply = sent.expect("a response");
         let mut events = Events::default();
-        assert!(events.read(&mut reply, count).await, "the stream begins");
+        assert!(events.read(&mut reply, count).await, "the stream starts");
         (reply, events)
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and returns the status and body of its response.
     pub async fn call(&self, number: usize, request: CallerRequest) -> (u16, Value) {
         let reply = self
             .send(number, request)
@@ -402,11 +409,11 @@
         let body = reply
             .whole(1 << 24)
             .await
-            .expect("the answer arrives whole");
+            .expect("the response body is complete");
         (status, serde_json::from_slice(&body).unwrap_or_default())
     }
 
-    /// Orders that the services ran, by key.
+    /// Number of orders with this idempotency key that the services ran.
     pub async fn count_runs(&self, key: &str) -> usize {
         let mut count = 0;
         for service in &self.services {
@@ -424,7 +431,7 @@
     }
 }
 
-/// A request to a daemon.
+/// A caller's request to a daemon.
 pub struct CallerRequest {
     body: String,
     headers: Vec<(&'static str, String)>,
@@ -433,14 +440,14 @@
 }
 
 impl CallerRequest {
-    /// A generation of this many tokens.
+    /// Requests the generation of this many tokens.
     pub fn generation(tokens: u32, stream: bool) -> Self {
         let body =
             json!({"model": "survey", "prompt": format!("tokens={tokens}"), "stream": stream});
         Self::post("/v1/completions", &body.to_string())
     }
 
-    /// An order under a key.
+    /// Requests an order with an idempotency key.
     pub fn order(key: &str, body: &str) -> Self {
         Self::post("/services/desk/orders", body).header("idempotency-key", key)
     }
@@ -460,12 +467,11 @@
     }
 }
 
-/// A fresh order key.
 pub fn new_idempotency_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// The events of a stream as far as they have come.
+/// The events of a stream received so far.
 #[derive(Default)]
 pub struct Events {
     pub data: Vec<String>,
@@ -474,7 +480,7 @@
 }
 
 impl Events {
-    /// Reads until `count` events have come; false if the stream ended before.
+    /// Reads until `count` events are received; false if the stream ends before.
     pub async fn read(&mut self, reply: &mut Reply, count: usize) -> bool {
         while self.data.len() < count {
             let Ok(Some(part)) = reply.part().await else {
@@ -495,12 +501,11 @@
         true
     }
 
-    /// Reads to the end.
     pub async fn read_to_end(&mut self, reply: &mut Reply) {
         self.read(reply, usize::MAX).await;
     }
 
-    /// The words of the tokens, and whether the stream ended as it should.
+    /// The text of each token, and whether the stream ended with `[DONE]`.
     pub fn words(&self) -> (Vec<String>, bool) {
         let done = self.data.last().is_some_and(|data| data == "[DONE]");
         let words = self.data.iter().filter_map(|data| {
@@ -511,7 +516,7 @@
     }
 }
 
-/// The words of a whole generation.
+/// The words of a complete generation of this many tokens.
 pub fn expected_words(tokens: u32) -> Vec<String> {
     (0..tokens).map(|index| format!("w{index}")).collect()
 }
--- a/crates/carawayhead/tests/leaving.rs
+++ b/crates/carawayhead/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Planned stops, failure domains taken out, endpoints that leave or start cold.
+//! Planned stops, disabled failure domains, and endpoints that leave or start cold.
 
 mod common;
 
@@ -13,8 +13,7 @@
     },
 };
 
-/// An instance is told to stop while it streams. Stopping at once would cut the
-/// report; it finishes what it has begun, and then ends well.
+/// An instance that receives SIGTERM completes its running streams before it exits.
 #[tokio::test]
 async fn planned_stop_completes_running_streams() {
     let mut cluster = Builder {
@@ -38,9 +37,8 @@
     assert_eq!(ended, Some(true));
 }
 
-/// Operators take a failure domain out. Work sent there afterwards would be lost
-/// with the domain; new work goes elsewhere from every instance, that of the
-/// domain itself included, and running streams there are not cut.
+/// After operators disable a failure domain, no instance, including those in the domain,
+/// sends it new requests, and its running streams complete.
 #[tokio::test]
 async fn disabled_domain_gets_no_new_requests_and_keeps_streams() {
     let cluster = Builder {
@@ -55,7 +53,7 @@
             cluster
                 .send(number % 2, CallerRequest::generation(60, true))
                 .await
-                .expect("an answer"),
+                .expect("the instance responds"),
         );
     }
     cluster
@@ -78,9 +76,8 @@
     }
 }
 
-/// An instance cannot reach the log at all, as when its failure domain is cut off
-/// from the platform. It would go on sending work to a domain that was taken out;
-/// it hears of the record from a fellow instance instead.
+/// An instance that cannot reach the log gets new configuration records from a peer.
+/// Otherwise it would keep sending requests to a disabled domain.
 #[tokio::test]
 async fn instance_without_log_gets_config_from_a_peer() {
     let mut cluster = Builder::default().start().await;
@@ -90,7 +87,7 @@
         .await;
     let address = &cluster.instances[2].operator;
     cluster
-        .wait_until("the record came through a fellow", async || {
+        .wait_until("the record is received from a peer", async || {
             let status = cluster.get(address, "/status").await;
             status["config_next_offset"] == json!(2)
                 && status["config_stale_ms"].as_u64() < Some(3000)
@@ -98,9 +95,8 @@
         .await;
 }
 
-/// An engine starts and bears two requests; a third makes it fall over. Six
-/// requests that come at once through three instances would throw it over at
-/// each start; they are let in by parts that sum up to the two.
+/// A cold engine crashes under more than two concurrent requests. Three instances that
+/// send it six requests at once must stay below this limit in sum.
 #[tokio::test]
 async fn cold_limit_holds_across_all_instances() {
     let mut cluster = Builder {
@@ -139,8 +135,8 @@
     cluster.engines.push(engine);
 }
 
-/// An engine begins to leave and says so itself, before the instance list does.
-/// Work sent there in between would be refused or lost; it gets none.
+/// An engine reports that it is leaving before the instance list does. Requests sent to
+/// it in between would be rejected or lost.
 #[tokio::test]
 async fn leaving_engine_gets_no_new_requests() {
     let cluster = Builder::default().start().await;
@@ -153,7 +149,7 @@
         .await;
     for instance in &cluster.instances {
         cluster
-            .wait_until("the engine is passed over", async || {
+            .wait_until("the engine is skipped", async || {
                 cluster.get(&instance.operator, "/status").await["usable"] == json!(2)
             })
             .await;
@@ -168,9 +164,8 @@
     assert_eq!(stats["starts"], json!(0));
 }
 
-/// The records of the first days have aged out of the log when an instance starts.
-/// Without what they said it would know no customer and turn everybody away; it
-/// starts from a snapshot that the others have appended in the meantime.
+/// The log has expired its first records when an instance starts. Without the snapshot
+/// that other instances appended, it would know no customer and reject every request.
 #[tokio::test]
 async fn instance_starts_from_snapshot_after_records_expired() {
     let mut cluster = Builder {
@@ -189,7 +184,7 @@
     for stream in ["config", "snapshots"] {
         let path = format!("/streams/{stream}/records?from=0");
         cluster
-            .wait_until("records have aged out", async || {
+            .wait_until("records have expired", async || {
                 cluster.get(&cluster.log.address, &path).await["first"].as_u64() > Some(0)
             })
             .await;
@@ -200,8 +195,8 @@
     assert_eq!(status, 200);
 }
 
-/// An instance is told to stop while a caller is still sending its request. It was
-/// accepted, so it must be answered, although nothing seems to be in progress.
+/// An instance receives SIGTERM while a caller is still sending a request body. The
+/// connection must stay open until the request is answered.
 #[tokio::test]
 async fn partially_received_request_is_answered_during_planned_stop() {
     let cluster = Builder::default().start().await;
@@ -211,22 +206,25 @@
          connection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    let (first, rest) = body.split_at(10);
+    let (sent, remaining) = body.split_at(10);
     let mut stream = TcpStream::connect(&cluster.instances[0].address)
         .await
-        .expect("a listener");
+        .expect("the instance accepts connections");
     stream
-        .write_all(format!("{head}{first}").as_bytes())
+        .write_all(format!("{head}{sent}").as_bytes())
         .await
-        .expect("a connection");
+        .expect("the request can be written");
     tokio::time::sleep(Duration::from_millis(100)).await;
     cluster.instances[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(600)).await;
     stream
-        .write_all(rest.as_bytes())
+        .write_all(remaining.as_bytes())
         .await
         .expect("the connection is still open");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("an answer");
+    stream
+        .read_to_string(&mut answer)
+        .await
+        .expect("the instance responds");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
--- a/crates/carawayhead/tests/operators.rs
+++ b/crates/carawayhead/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Commands of operators, through real processes.
+//! Operator commands against running daemons.
 
 mod common;
 
@@ -25,9 +25,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Two operators edit the same route, each from what `show` printed. The second
-/// would undo the first unknowingly; it is told which record came first, nothing
-/// of it is in force, and every instance has the first one's.
+/// Two operators publish changes based on the same version of a route. The second
+/// publication must fail with a conflict instead of overwriting the first.
 #[tokio::test]
 async fn concurrent_publication_reports_the_winning_record() {
     let cluster = Builder::default().start().await;
@@ -38,12 +37,12 @@
     let first = file(&cluster, "a.toml", &shown.replace("256", "300"));
     let second = file(&cluster, "b.toml", &shown.replace("256", "400"));
     assert!(run(&["publish", "--log", &log, &first]).status.success());
-    let beaten = run(&["publish", "--log", &log, &second]);
-    assert_eq!(beaten.status.code(), Some(3));
-    let told = text(&beaten.stderr);
+    let conflict = run(&["publish", "--log", &log, &second]);
+    assert_eq!(conflict.status.code(), Some(3));
+    let stderr = text(&conflict.stderr);
     assert!(
-        told.contains("route.survey: beaten by the record at offset 1"),
-        "{told}"
+        stderr.contains("route.survey: beaten by the record at offset 1"),
+        "{stderr}"
     );
     let shown = text(&run(&["show", "--log", &log, "route.survey"]).stdout);
     assert!(shown.contains("300"), "{shown}");
@@ -51,9 +50,8 @@
     assert!(history.contains("route.survey beaten by 1"), "{history}");
 }
 
-/// The answer to a publication is lost while the record stands in the log. Taken
-/// for a failure it would be published again and lose against itself; the command
-/// looks it up and says that it is in force.
+/// The log appends a record but its response is lost. Publishing the record again would
+/// conflict with itself, so the command reads the log to confirm the append.
 #[tokio::test]
 async fn publication_with_lost_response_is_confirmed_by_reading_the_log() {
     let cluster = Builder::default().start().await;
--- a/crates/carawayhead/tests/orders.rs
+++ b/crates/carawayhead/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders through failures: at most one run, and truthful refusals.
+//! Orders during failures: each runs at most once, and rejections state correctly whether
+//! it may have run.
 
 mod common;
 
@@ -8,9 +9,8 @@
     serde_json::json,
 };
 
-/// The answer of the log to a claim is lost again and again, while the claim may
-/// stand in the log. An instance that took that for a failure would leave the
-/// order unsent or send it beside another one; each order runs once all the same.
+/// Responses of the log to claims are lost, although the claims may be appended. An
+/// instance that treats this as a failure would drop the order or let it run twice.
 #[tokio::test]
 async fn order_runs_once_despite_lost_log_responses() {
     let cluster = Builder::default().start().await;
@@ -33,9 +33,8 @@
     }
 }
 
-/// The log is down. No order can be claimed, so none is sent: the counter is told
-/// at once that nothing ran and when to come back, and after the outage the same
-/// key goes through.
+/// While the log is down no order can be claimed, so orders are rejected as not run.
+/// After the outage the same idempotency key is accepted.
 #[tokio::test]
 async fn order_during_log_outage_is_rejected_as_not_run() {
     let cluster = Builder {
@@ -49,7 +48,7 @@
         .await;
     let address = &cluster.instances[0].operator;
     cluster
-        .wait_until("the outage is noticed", async || {
+        .wait_until("the outage is detected", async || {
             cluster.get(address, "/status").await["config_stale_ms"].as_u64() > Some(1800)
         })
         .await;
@@ -61,7 +60,7 @@
         .post(&cluster.log.address, "/control", &json!({"outage": false}))
         .await;
     cluster
-        .wait_until("the log is read again", async || {
+        .wait_until("the order is accepted", async || {
             let (status, _) = cluster.call(0, CallerRequest::order(&key, "print 5")).await;
             status == 200
         })
@@ -69,9 +68,8 @@
     assert_eq!(cluster.count_runs(&key).await, 1);
 }
 
-/// The desk runs an order, but its answer is lost on the way. Sending again would
-/// print the badge twice; the organiser is told that it may have run, and so is
-/// whoever repeats the key elsewhere.
+/// The service runs an order but its response is lost. A retry would run it twice, so this
+/// request and any later one with the same key are answered with may-have-run.
 #[tokio::test]
 async fn order_with_lost_response_is_not_retried() {
     let cluster = Builder::default().start().await;
@@ -91,9 +89,8 @@
     assert_eq!(cluster.count_runs(&key).await, 1);
 }
 
-/// An instance freezes with an order in its hands, and the caller tries again
-/// through another one. When the first wakes, it must not send what the second
-/// has sent; the order runs once.
+/// An instance freezes while it handles an order, and the caller repeats the order through
+/// another instance. The first must not send the order after it resumes.
 #[tokio::test]
 async fn resumed_instance_does_not_repeat_an_order() {
     let cluster = Builder::default().start().await;
@@ -118,9 +115,9 @@
     }
 }
 
-/// The holder of a key dies after it claimed the key and sent the order. Nobody
-/// can tell whether the order ran; the second caller is told just that once the
-/// instance list says that the holder is gone, not left waiting to its deadline.
+/// An instance dies after it claimed a key and sent the order. Once the instance list
+/// drops that instance, a repeated request is answered with may-have-run instead of
+/// waiting until its deadline.
 #[tokio::test]
 async fn key_of_dead_instance_is_answered_as_may_have_run() {
     let mut cluster = Builder::default().start().await;
@@ -134,11 +131,11 @@
     let key = new_idempotency_key();
     {
         let order = cluster.send(0, CallerRequest::order(&key, "fire 9"));
-        let sent = cluster.wait_until("the desk runs it", async || {
+        let sent = cluster.wait_until("the service runs the order", async || {
             cluster.count_runs(&key).await == 1
         });
         tokio::select! {
-            _ = order => panic!("the desk takes a minute"),
+            _ = order => panic!("the order ended before its 60 s delay"),
             () = sent => {}
         }
     }
@@ -149,8 +146,8 @@
     assert_eq!(cluster.count_runs(&key).await, 1);
 }
 
-/// No desk listens where the list says. Nothing was written, so the refusal says
-/// "not run", and the same key can be used for the next try.
+/// No service listens at the listed address. Nothing was sent, so the order is rejected as
+/// not run and the same key can be used again.
 #[tokio::test]
 async fn order_without_listening_service_is_not_run_and_can_be_repeated() {
     let mut cluster = Builder::default().start().await;
@@ -158,10 +155,10 @@
     let key = new_idempotency_key();
     let (status, problem) = cluster.call(0, CallerRequest::order(&key, "print 5")).await;
     assert_eq!((status, &problem["outcome"]), (503, &json!("not-run")));
-    let desk = cluster.add_service("desk-0", "north").await;
-    cluster.services = vec![desk];
+    let service = cluster.add_service("desk-0", "north").await;
+    cluster.services = vec![service];
     cluster
-        .wait_until("the new desk is known", async || {
+        .wait_until("the new service is used", async || {
             let (status, _) = cluster.call(1, CallerRequest::order(&key, "print 5")).await;
             status == 200
         })
@@ -169,9 +166,8 @@
     assert_eq!(cluster.count_runs(&key).await, 1);
 }
 
-/// The answer of a desk is lost, but this desk knows its keys and answers a repeat
-/// without printing again. Telling the organiser "may have run" would be true and
-/// of no use; the same desk is asked once more, and the answer is given.
+/// The response of a service that deduplicates by idempotency key is lost. The order is
+/// retried at the same service, which returns the response without a second run.
 #[tokio::test]
 async fn deduplicating_service_is_retried() {
     let cluster = Builder::default().start().await;
--- a/crates/carawayhead/tests/streams.rs
+++ b/crates/carawayhead/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams through failures: each token once, in order, from one generation.
+//! Streams during failures: each token arrives once, in order and from one generation.
 
 mod common;
 
@@ -8,12 +8,11 @@
     serde_json::json,
 };
 
-/// Slow enough that a failure falls into the middle of a stream.
+/// Slows engines down so that a failure occurs in the middle of a stream.
 const SLOW_ENGINE_FLAGS: [&str; 1] = ["--step-base=20000"];
 
-/// An entry instance is killed while it streams a report. The reader is cut off
-/// in mid-sentence; coming back through another instance with the last event id,
-/// it hears the rest, neither a word twice nor one left out.
+/// An instance is killed while it streams. The caller resumes through another instance
+/// with the last event ID and receives the remaining tokens without gap or duplicate.
 #[tokio::test]
 async fn stream_resumes_through_another_instance() {
     let builder = Builder {
@@ -24,17 +23,19 @@
     let (mut reply, mut events) = cluster.begin_stream(100, 10).await;
     cluster.instances[0].kill();
     events.read_to_end(&mut reply).await;
-    assert!(!events.words().1, "the stream is cut");
-    let ask = CallerRequest::generation(100, true).header("last-event-id", &events.last_id);
-    let mut reply = cluster.send(1, ask).await.expect("an answer");
+    assert!(!events.words().1, "the stream is incomplete");
+    let request = CallerRequest::generation(100, true).header("last-event-id", &events.last_id);
+    let mut reply = cluster
+        .send(1, request)
+        .await
+        .expect("the instance responds");
     assert_eq!(reply.status(), 200);
     events.read_to_end(&mut reply).await;
     assert_eq!(events.words(), (expected_words(100), true));
 }
 
-/// Something between the instance and the engine forgets the open connection:
-/// no token comes any more, and no error either, while new connections work.
-/// The reader would wait for ever; instead the stream goes on after a second.
+/// An open connection to an engine stops delivering data without an error, while new
+/// connections work. The stream must resume over a new connection instead of hanging.
 #[tokio::test]
 async fn silent_stream_resumes_over_a_new_connection() {
     let builder = Builder {
@@ -55,9 +56,8 @@
     assert!(status["resumed"].as_u64() >= Some(1));
 }
 
-/// The engine dies after some tokens. Another engine would write another text,
-/// so the rest cannot be had: the reader is told that the stream was cut, not
-/// given words of a second text.
+/// The engine dies in the middle of a generation. Another engine would generate different
+/// text, so the stream must end with an error and not with tokens of a second generation.
 #[tokio::test]
 async fn stream_ends_with_error_event_when_its_engine_dies() {
     let builder = Builder {
@@ -84,9 +84,8 @@
     );
 }
 
-/// An engine freezes before the first token of a check. The organiser at the
-/// counter would wait with it; the check goes to another engine instead, and the
-/// frozen one's late words are dropped when it wakes.
+/// An engine freezes before the first token. The request is retried at another engine,
+/// and tokens that the first engine sends after it resumes are dropped.
 #[tokio::test]
 async fn generation_is_retried_when_engine_freezes_before_first_token() {
     let builder = Builder {
@@ -96,19 +95,19 @@
     };
     let mut cluster = builder.start().await;
     cluster.engines[0].signal(Signal::STOP);
-    let late = cluster.send(0, CallerRequest::generation(5, true));
+    let first = cluster.send(0, CallerRequest::generation(5, true));
     let second = async {
         cluster
-            .wait_until("the check was sent", async || {
+            .wait_until("the request was sent", async || {
                 let status = cluster.get(&cluster.instances[0].operator, "/status").await;
                 status["sent"].as_u64() >= Some(1)
             })
             .await;
         cluster.add_engine("engine-1", "north", &[]).await
     };
-    let (reply, engine) = tokio::join!(late, second);
+    let (reply, engine) = tokio::join!(first, second);
     let mut events = Events::default();
-    let mut reply = reply.expect("an answer");
+    let mut reply = reply.expect("the instance responds");
     assert_eq!(reply.status(), 200);
     events.read_to_end(&mut reply).await;
     cluster.engines[0].signal(Signal::CONT);
@@ -118,9 +117,8 @@
     cluster.engines.push(engine);
 }
 
-/// A reader loses its connection and does not come back. The engine would go on
-/// writing for nobody and hold memory that others wait for; the generation is
-/// cancelled after the grace time.
+/// A caller disconnects and does not return. The generation is cancelled after the grace
+/// time, or it would hold engine memory that other requests need.
 #[tokio::test]
 async fn abandoned_generation_is_cancelled_after_grace_time() {
     let builder = Builder {
@@ -132,7 +130,7 @@
     let (reply, _) = cluster.begin_stream(10_000, 5).await;
     drop(reply);
     cluster
-        .wait_until("no engine decodes", async || {
+        .wait_until("no engine runs a generation", async || {
             let mut running = 0;
             for engine in &cluster.engines {
                 let stats = cluster.get(&engine.address, "/control").await;
--- a/crates/carawayhead/tests/whole_path.rs
+++ b/crates/carawayhead/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request from a caller through real daemons to the back ends and back.
+//! Requests from a caller through daemons to the endpoints and back.
 
 mod common;
 
@@ -14,7 +14,7 @@
         let mut reply = cluster
             .send(number, CallerRequest::generation(50, true))
             .await
-            .expect("an answer");
+            .expect("the instance responds");
         assert_eq!(reply.status(), 200);
         let mut events = Events::default();
         events.read_to_end(&mut reply).await;
@@ -47,11 +47,11 @@
     let (first, answer) = cluster
         .call(0, CallerRequest::order(&key, "fire plate 7"))
         .await;
-    let (second, again) = cluster
+    let (second, repeated_answer) = cluster
         .call(1, CallerRequest::order(&key, "fire plate 7"))
         .await;
     assert_eq!((first, second), (200, 200));
-    assert_eq!(answer, again);
+    assert_eq!(answer, repeated_answer);
     assert_eq!(cluster.count_runs(&key).await, 1);
     let (status, problem) = cluster
         .call(1, CallerRequest::order(&key, "fire plate 8"))
@@ -95,9 +95,9 @@
             "body_too_large",
         ),
     ];
-    for (ask, status, code) in cases {
-        let (found, answer) = cluster.call(0, ask).await;
-        assert_eq!((found, &answer["error"]["code"]), (status, &json!(code)));
+    for (request, status, code) in cases {
+        let (received, answer) = cluster.call(0, request).await;
+        assert_eq!((received, &answer["error"]["code"]), (status, &json!(code)));
     }
     let (status, problem) = cluster
         .call(0, CallerRequest::order("not-a-uuid", "x"))
