--- a/crates/carawayhead/tests/common/mod.rs
+++ b/crates/carawayhead/tests/common/mod.rs
@@ -414,7 +414,7 @@
     }
 
     /// Number of orders with this idempotency key that the services ran.
-    pub async fn count_runs(&self, key: &str) -> usize {
+    pub async fn run_count(&self, key: &str) -> usize {
         let mut count = 0;
         for service in &self.services {
             let runs = self.get(&service.address, "/control").await;
--- a/crates/carawayhead/tests/forwarding/answers.rs
+++ b/crates/carawayhead/tests/forwarding/answers.rs
@@ -1,7 +1,7 @@
 //! What callers get, and what endpoints run.
 
 use {
-    crate::instance::{Instance, until},
+    crate::instance::{Instance, wait_until},
     http::StatusCode,
     platform::standin::{
         Desk, Store,
@@ -10,13 +10,13 @@
     },
 };
 
-async fn deployment(desks: &[&Desk]) -> (Store, Instance) {
+async fn deployment(services: &[&Desk]) -> (Store, Instance) {
     let store = Store::start().await;
     store.operate("config", &config(1, &["key-1"], 5000));
-    for (number, desk) in desks.iter().enumerate() {
+    for (number, service) in services.iter().enumerate() {
         store.list(
             &format!("d{}", number + 1),
-            &desk.entry("desk", "a", "ready"),
+            &service.entry("desk", "a", "ready"),
         );
     }
     let instance = Instance::start("e1", "a", &store).await;
@@ -26,9 +26,9 @@
 /// A caller sends headers that only the system may set: it would name its own customer,
 /// take a reservation, or go on from another's memory. The endpoint must see the system's.
 #[tokio::test]
-async fn a_request_is_forwarded_without_what_is_not_the_callers_to_say() {
-    let desk = Desk::start("d1").await;
-    let (_store, instance) = deployment(&[&desk]).await;
+async fn reserved_headers_from_callers_are_not_forwarded() {
+    let service = Desk::start("d1").await;
+    let (_store, instance) = deployment(&[&service]).await;
     let mut request = Ask::new("r1", "/order/7?plate=3");
     request.extra = vec![
         ("carawayhead-tenant", "eve"),
@@ -36,23 +36,25 @@
         ("kv-from", "127.0.0.1:1/r0"),
         ("x-note", "kept"),
     ];
-    let got = ask(instance.callers, &request).await.expect("an answer");
-    assert_eq!((got.status, got.sealed), (StatusCode::OK, true));
-    assert_eq!(got.body, "done r1 at d1");
-    let ran = desk.ran();
-    assert_eq!(ran.len(), 1);
-    let ran = &ran[0];
+    let response = ask(instance.caller_address, &request)
+        .await
+        .expect("an answer");
+    assert_eq!((response.status, response.sealed), (StatusCode::OK, true));
+    assert_eq!(response.body, "done r1 at d1");
+    let calls = service.ran();
+    assert_eq!(calls.len(), 1);
+    let call = &calls[0];
     assert_eq!(
-        (ran.path.as_str(), ran.query.as_str()),
+        (call.path.as_str(), call.query.as_str()),
         ("/order/7", "plate=3")
     );
-    assert_eq!(&*ran.body, b"body");
-    assert_eq!(ran.header("carawayhead-tenant"), Some("ada"));
-    assert_eq!(ran.header("x-note"), Some("kept"));
+    assert_eq!(&*call.body, b"body");
+    assert_eq!(call.header("carawayhead-tenant"), Some("ada"));
+    assert_eq!(call.header("x-note"), Some("kept"));
     for name in ["authorization", "carawayhead-kv-hold", "kv-from"] {
-        assert_eq!(ran.header(name), None, "{name}");
+        assert_eq!(call.header(name), None, "{name}");
     }
-    let left = ran
+    let left = call
         .header("carawayhead-deadline-ms")
         .and_then(|left| left.parse::<u32>().ok());
     assert!(left.is_some_and(|left| left <= 5000), "{left:?}");
@@ -61,37 +63,39 @@
 /// A key that no customer holds, a path that no route has, a body over the limit: each
 /// has its own answer, and nothing reaches an endpoint.
 #[tokio::test]
-async fn improper_requests_are_refused_by_name() {
-    let desk = Desk::start("d1").await;
-    let (_store, instance) = deployment(&[&desk]).await;
+async fn unauthorized_and_unroutable_requests_are_rejected() {
+    let service = Desk::start("d1").await;
+    let (_store, instance) = deployment(&[&service]).await;
     let mut unknown = Ask::new("r1", "/order/7");
     unknown.key = "key-9";
     for (request, status) in [
         (unknown, StatusCode::UNAUTHORIZED),
         (Ask::new("r2", "/nothing/7"), StatusCode::NOT_FOUND),
     ] {
-        let got = ask(instance.callers, &request).await.expect("an answer");
-        assert_eq!(got.status, status);
-        assert_eq!(got.id.as_deref(), Some(request.id));
+        let response = ask(instance.caller_address, &request)
+            .await
+            .expect("an answer");
+        assert_eq!(response.status, status);
+        assert_eq!(response.id.as_deref(), Some(request.id));
     }
-    assert_eq!(desk.ran().len(), 0);
+    assert_eq!(service.ran().len(), 0);
 }
 
 /// An endpoint books a kiln and its answer is lost. Sending the order again would book
 /// twice; saying that it has not run would have the caller do so.
 #[tokio::test]
-async fn an_order_whose_answer_is_lost_is_not_repeated() {
+async fn order_with_lost_response_is_not_retried() {
     let (one, two) = (Desk::start("d1").await, Desk::start("d2").await);
     let (_store, instance) = deployment(&[&one, &two]).await;
-    for desk in [&one, &two] {
-        desk.conduct(Conduct::Lost);
+    for service in [&one, &two] {
+        service.conduct(Conduct::Lost);
     }
-    let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
-    assert_eq!(got.expect("an answer").status, StatusCode::BAD_GATEWAY);
+    let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
+    assert_eq!(response.expect("an answer").status, StatusCode::BAD_GATEWAY);
     assert_eq!(one.ran().len() + two.ran().len(), 1);
     // A lookup may be repeated, and is.
-    let got = ask(instance.callers, &Ask::new("r2", "/look/7")).await;
-    assert_eq!(got.expect("an answer").status, StatusCode::BAD_GATEWAY);
+    let response = ask(instance.caller_address, &Ask::new("r2", "/look/7")).await;
+    assert_eq!(response.expect("an answer").status, StatusCode::BAD_GATEWAY);
     assert_eq!(one.ran().len() + two.ran().len(), 3);
 }
 
@@ -99,19 +103,19 @@
 /// one that drops it. The first failure is an answer that was ready: the caller gets it,
 /// and not a failure of this instance's own.
 #[tokio::test]
-async fn an_endpoints_own_failure_is_delivered_if_nothing_better_comes() {
+async fn endpoint_error_is_forwarded_if_retry_gets_no_response() {
     for second in [None, Some(Conduct::Lost), Some(Conduct::Full)] {
-        let desks = [Desk::start("d1").await, Desk::start("d2").await];
-        desks[0].conduct(Conduct::Failing);
-        desks[1].conduct(second.unwrap_or_default());
+        let services = [Desk::start("d1").await, Desk::start("d2").await];
+        services[0].conduct(Conduct::Failing);
+        services[1].conduct(second.unwrap_or_default());
         let listed = if second.is_some() { 2 } else { 1 };
-        let listed = desks[..listed].iter().collect::<Vec<_>>();
+        let listed = services[..listed].iter().collect::<Vec<_>>();
         let (_store, instance) = deployment(&listed).await;
         // Which of the two is asked first is left to chance; both orders end alike.
-        let got = ask(instance.callers, &Ask::new("r1", "/look/7")).await;
-        let got = got.expect("an answer");
+        let response = ask(instance.caller_address, &Ask::new("r1", "/look/7")).await;
+        let response = response.expect("an answer");
         assert_eq!(
-            (got.status, got.sealed, got.body.as_str()),
+            (response.status, response.sealed, response.body.as_str()),
             (StatusCode::INTERNAL_SERVER_ERROR, true, "done r1 at d1"),
             "{second:?}"
         );
@@ -120,65 +124,65 @@
 
 /// One endpoint is full and says that it has not run the order; another one has room.
 #[tokio::test]
-async fn an_order_that_was_turned_down_goes_elsewhere() {
+async fn rejected_order_is_retried_at_another_endpoint() {
     let (one, two) = (Desk::start("d1").await, Desk::start("d2").await);
     let (_store, instance) = deployment(&[&one, &two]).await;
     for (full, sound) in [(&one, &two), (&two, &one)] {
         full.conduct(Conduct::Full);
         sound.conduct(Conduct::Sound);
-        let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
-        assert_eq!(got.expect("an answer").status, StatusCode::OK);
+        let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
+        assert_eq!(response.expect("an answer").status, StatusCode::OK);
     }
     assert_eq!(one.ran().len() + two.ran().len(), 2);
-    for desk in [&one, &two] {
-        desk.conduct(Conduct::Full);
+    for service in [&one, &two] {
+        service.conduct(Conduct::Full);
     }
-    let got = ask(instance.callers, &Ask::new("r3", "/order/7")).await;
-    let got = got.expect("an answer");
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(got.retry_after.is_some());
+    let response = ask(instance.caller_address, &Ask::new("r3", "/order/7")).await;
+    let response = response.expect("an answer");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.retry_after.is_some());
     assert_eq!(one.ran().len() + two.ran().len(), 2);
 }
 
 /// An endpoint answers under another request's id, or a success without its seal. Passed
 /// on, a caller would take another's booking for its own.
 #[tokio::test]
-async fn an_answer_that_may_be_anothers_is_not_passed_on() {
-    let desk = Desk::start("d1").await;
-    let (_store, instance) = deployment(&[&desk]).await;
-    for conduct in [Conduct::Confused, Conduct::Unsealed] {
-        desk.conduct(conduct);
-        let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
-        let got = got.expect("an answer");
-        assert_eq!(got.status, StatusCode::BAD_GATEWAY, "{conduct:?}");
-        assert!(!got.body.contains("done"), "{conduct:?}");
+async fn response_with_wrong_id_or_missing_seal_is_not_forwarded() {
+    let service = Desk::start("d1").await;
+    let (_store, instance) = deployment(&[&service]).await;
+    for behavior in [Conduct::Confused, Conduct::Unsealed] {
+        service.conduct(behavior);
+        let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
+        let response = response.expect("an answer");
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{behavior:?}");
+        assert!(!response.body.contains("done"), "{behavior:?}");
     }
 }
 
 /// An instance is told to stop. It says at once that no callers should be sent to it,
 /// serves those who come on open connections, and ends by itself.
 #[tokio::test]
-async fn a_stopped_instance_ends_after_its_last_request() {
-    let desk = Desk::start("d1").await;
-    let (_store, mut instance) = deployment(&[&desk]).await;
+async fn stopping_instance_exits_after_its_last_request() {
+    let service = Desk::start("d1").await;
+    let (_store, mut instance) = deployment(&[&service]).await;
     instance.signal(rustix::process::Signal::TERM);
-    let ready = instance.ready;
-    until("it is not ready", || async move {
+    let ready = instance.readiness_address;
+    wait_until("it is not ready", || async move {
         !platform::standin::caller::is_ready(ready).await
     })
     .await;
-    let got = ask(instance.callers, &Ask::new("r1", "/order/7")).await;
-    assert_eq!(got.expect("an answer").status, StatusCode::OK);
+    let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
+    assert_eq!(response.expect("an answer").status, StatusCode::OK);
     let mut ended = None;
     for _ in 0..2000 {
-        ended = instance.ended();
+        ended = instance.exit_status();
         if ended.is_some() {
             break;
         }
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
     assert!(ended.expect("it ends by itself").success());
-    assert_eq!(instance.lines_with("\"stopped\"").len(), 1);
+    assert_eq!(instance.log_lines_containing("\"stopped\"").len(), 1);
 }
 
 /// Orders keep coming while an instance stops, until it is gone. Between two of them it has
@@ -186,26 +190,26 @@
 /// and cut off with the process (seed 973547733763 of mixed days on rmpe-stl). Whatever the
 /// desk ran must have been answered.
 #[tokio::test]
-async fn no_order_is_lost_in_the_last_moments() {
-    let desk = Desk::start("d1").await;
-    let (_store, mut instance) = deployment(&[&desk]).await;
-    desk.conduct(Conduct::Slow);
+async fn orders_run_during_shutdown_are_answered() {
+    let service = Desk::start("d1").await;
+    let (_store, mut instance) = deployment(&[&service]).await;
+    service.conduct(Conduct::Slow);
     instance.signal(rustix::process::Signal::TERM);
     let mut answered = Vec::new();
     for number in 0..100_000 {
         let id = format!("r{number}");
-        let got = ask(instance.callers, &Ask::new(&id, "/order/7")).await;
-        if got.is_some_and(|got| got.status == StatusCode::OK) {
+        let response = ask(instance.caller_address, &Ask::new(&id, "/order/7")).await;
+        if response.is_some_and(|response| response.status == StatusCode::OK) {
             answered.push(id);
         }
-        if instance.ended().is_some() {
+        if instance.exit_status().is_some() {
             break;
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
-    let ran = desk.ran();
-    let ran = ran
+    let calls = service.ran();
+    let calls = calls
         .iter()
         .filter_map(|call| call.header("carawayhead-request-id"));
-    assert_eq!(ran.collect::<Vec<_>>(), answered);
+    assert_eq!(calls.collect::<Vec<_>>(), answered);
 }
--- a/crates/carawayhead/tests/forwarding/instance.rs
+++ b/crates/carawayhead/tests/forwarding/instance.rs
@@ -15,40 +15,40 @@
 };
 
 /// Bound on everything that a test waits for; far beyond what any of it takes.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// An instance, killed when it is dropped.
 pub struct Instance {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it says whether callers may be sent to it.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Its settings file.
-    pub settings: std::path::PathBuf,
+    pub settings_path: std::path::PathBuf,
     /// Where its metrics are.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
 }
 
 impl Instance {
     /// Starts one in a failure domain and waits until it is ready.
     pub async fn start(name: &str, domain: &str, store: &Store) -> Self {
-        let instance = Self::start_unready(name, domain, store).await;
-        until("the instance is ready", || async {
-            caller::is_ready(instance.ready).await
+        let instance = Self::start_without_waiting(name, domain, store).await;
+        wait_until("the instance is ready", || async {
+            caller::is_ready(instance.readiness_address).await
         })
         .await;
         instance
     }
 
     /// Starts one and waits until it listens.
-    pub async fn start_unready(name: &str, domain: &str, store: &Store) -> Self {
-        Self::start_at(name, domain, store.address).await
+    pub async fn start_without_waiting(name: &str, domain: &str, store: &Store) -> Self {
+        Self::start_with_store(name, domain, store.address).await
     }
 
     /// Starts one that reaches the store at an address, and waits until it listens.
-    pub async fn start_at(name: &str, domain: &str, store: SocketAddr) -> Self {
+    pub async fn start_with_store(name: &str, domain: &str, store: SocketAddr) -> Self {
         let folder = std::env::temp_dir();
         let file = folder.join(format!(
             "forwarding-{}-{name}-{}.toml",
@@ -77,7 +77,7 @@
                 sink.lock().expect("not poisoned").push(line);
             }
         });
-        until("the instance listens", || async {
+        wait_until("the instance listens", || async {
             lines
                 .lock()
                 .expect("not poisoned")
@@ -97,17 +97,17 @@
             address.parse().expect("an address")
         };
         Self {
-            callers: address("Callers"),
-            metrics: address("Metrics"),
-            ready: address("Ready"),
-            settings: file,
+            caller_address: address("Callers"),
+            metrics_address: address("Metrics"),
+            readiness_address: address("Ready"),
+            settings_path: file,
             child,
             lines,
         }
     }
 
     /// Its log lines so far that contain a text.
-    pub fn lines_with(&self, text: &str) -> Vec<String> {
+    pub fn log_lines_containing(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lock().expect("not poisoned");
         lines
             .iter()
@@ -123,7 +123,7 @@
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().expect("a child")
     }
 }
@@ -137,10 +137,10 @@
 }
 
 /// Waits until something holds.
-pub async fn until<F: Future<Output = bool>>(what: &str, check: impl Fn() -> F) {
+pub async fn wait_until<F: Future<Output = bool>>(what: &str, check: impl Fn() -> F) {
     let step = Duration::from_millis(20);
     let mut waited = Duration::ZERO;
-    while waited < PATIENCE {
+    while waited < WAIT_TIMEOUT {
         if check().await {
             return;
         }
--- a/crates/carawayhead/tests/forwarding/streams.rs
+++ b/crates/carawayhead/tests/forwarding/streams.rs
@@ -1,7 +1,7 @@
 //! Generations that outlive their engine.
 
 use {
-    crate::instance::{Instance, until},
+    crate::instance::{Instance, wait_until},
     http::StatusCode,
     platform::standin::{
         Engine, Store,
@@ -11,17 +11,17 @@
     std::{sync::Arc, time::Duration},
 };
 
-const EVENTS: u32 = 120;
+const EVENTS_PER_STREAM: u32 = 120;
 
 struct Deployment {
     engines: Vec<Engine>,
     instance: Instance,
     store: Store,
-    world: Arc<World>,
+    shared_runs: Arc<World>,
 }
 
 async fn deployment(engines: usize) -> Deployment {
-    deployment_of(engines, EVENTS, Duration::from_millis(15)).await
+    deployment_of(engines, EVENTS_PER_STREAM, Duration::from_millis(15)).await
 }
 
 /// One whose streams have three events, `gap` apart.
@@ -32,11 +32,11 @@
 async fn deployment_of(engines: usize, events: u32, gap: Duration) -> Deployment {
     let store = Store::start().await;
     store.operate("config", &config(1, &["key-1"], 30_000));
-    let world = Arc::default();
+    let shared_runs = Arc::default();
     let mut started = Vec::new();
     for number in 1..=engines {
         let id = format!("m{number}");
-        let engine = Engine::start(&world, &id, events, gap).await;
+        let engine = Engine::start(&shared_runs, &id, events, gap).await;
         store.list(&id, &engine.entry("model", "a", "ready"));
         started.push(engine);
     }
@@ -45,44 +45,46 @@
         engines: started,
         instance,
         store,
-        world,
+        shared_runs,
     }
 }
 
 impl Deployment {
     /// Waits until an engine serves the request with an id, and returns its place.
-    async fn serving(&self, id: &str) -> usize {
-        let place = || {
+    async fn wait_for_run_of(&self, id: &str) -> usize {
+        let index = || {
             self.engines.iter().position(|engine| {
-                let ran = engine.ran();
-                ran.iter()
+                let calls = engine.ran();
+                calls
+                    .iter()
                     .any(|call| call.header("carawayhead-request-id") == Some(id))
             })
         };
-        until("an engine has the run", || async { place().is_some() }).await;
+        wait_until("an engine has the run", || async { index().is_some() }).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        place().expect("an engine with the run")
+        index().expect("an engine with the run")
     }
 
     /// Waits until an engine has the run, and returns its place.
-    async fn running_at(&self) -> usize {
-        until("an engine has the run", || async {
+    async fn wait_for_run(&self) -> usize {
+        wait_until("an engine has the run", || async {
             self.engines.iter().any(|engine| !engine.ran().is_empty())
         })
         .await;
         // Some events are to be out before something happens to the engine.
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let place = self
+        let index = self
             .engines
             .iter()
             .position(|engine| !engine.ran().is_empty());
-        place.expect("an engine with the run")
+        index.expect("an engine with the run")
     }
 }
 
 /// Every event once and in order, and nothing else.
-fn assert_whole(body: &str) {
-    let events = (1..=EVENTS).map(|number| format!("id: {number}\ndata: token {number}\n\n"));
+fn assert_all_events(body: &str) {
+    let events =
+        (1..=EVENTS_PER_STREAM).map(|number| format!("id: {number}\ndata: token {number}\n\n"));
     assert_eq!(body, events.collect::<String>());
 }
 
@@ -90,49 +92,51 @@
 /// is gone. The caller's report must go on at the engine that holds a copy, with no event
 /// missing, doubled or late, and no two engines at work on it for long.
 #[tokio::test]
-async fn a_stream_goes_on_when_its_engine_leaves() {
+async fn stream_continues_when_its_engine_leaves() {
     for vanishes in [false, true] {
         let deployment = deployment(3).await;
-        let callers = deployment.instance.callers;
-        let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
-        let place = deployment.running_at().await;
-        let id = format!("m{}", place + 1);
-        let entry = deployment.engines[place].leaving_entry("model", "a");
+        let caller_address = deployment.instance.caller_address;
+        let stream =
+            tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
+        let index = deployment.wait_for_run().await;
+        let id = format!("m{}", index + 1);
+        let entry = deployment.engines[index].leaving_entry("model", "a");
         deployment
             .store
             .list(&id, if vanishes { "" } else { &entry });
-        until("another engine has the run", || async {
+        wait_until("another engine has the run", || async {
             let others = deployment.engines.iter().enumerate();
-            let mut others = others.filter(|(other, _)| *other != place);
+            let mut others = others.filter(|(other, _)| *other != index);
             others.any(|(_, engine)| !engine.ran().is_empty())
         })
         .await;
         tokio::time::sleep(Duration::from_millis(200)).await;
-        deployment.engines[place].crash();
-        let got = stream.await.expect("a task").expect("an answer");
+        deployment.engines[index].crash();
+        let response = stream.await.expect("a task").expect("an answer");
         assert_eq!(
-            (got.status, got.complete),
+            (response.status, response.complete),
             (StatusCode::OK, true),
             "{vanishes}"
         );
-        assert_whole(&got.body);
-        assert!(deployment.world.most_at_once() <= 2);
+        assert_all_events(&response.body);
+        assert!(deployment.shared_runs.most_at_once() <= 2);
     }
 }
 
 /// An engine dies without a word in the middle of a report. The copy that was made while
 /// the run went on is all that is left of it.
 #[tokio::test]
-async fn a_stream_goes_on_when_its_engine_dies() {
+async fn stream_continues_when_its_engine_dies() {
     let deployment = deployment(3).await;
-    let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
-    let place = deployment.running_at().await;
-    deployment.engines[place].crash();
-    let got = stream.await.expect("a task").expect("an answer");
-    assert_eq!((got.status, got.complete), (StatusCode::OK, true));
-    assert_whole(&got.body);
-    let takeovers = deployment.instance.lines_with("\"takeover\"");
+    let caller_address = deployment.instance.caller_address;
+    let stream =
+        tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
+    let index = deployment.wait_for_run().await;
+    deployment.engines[index].crash();
+    let response = stream.await.expect("a task").expect("an answer");
+    assert_eq!((response.status, response.complete), (StatusCode::OK, true));
+    assert_all_events(&response.body);
+    let takeovers = deployment.instance.log_lines_containing("\"takeover\"");
     assert!(!takeovers.is_empty());
 }
 
@@ -140,16 +144,17 @@
 /// copy is asked long before the silence itself would be taken for a loss, so that the
 /// caller sees no late event.
 #[tokio::test]
-async fn a_stream_whose_engine_falls_quiet_goes_on_at_its_copy() {
+async fn stream_of_silent_engine_continues_at_the_backup() {
     let deployment = deployment(3).await;
-    let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
-    let place = deployment.running_at().await;
-    deployment.engines[place].freeze();
-    let got = stream.await.expect("a task").expect("an answer");
-    assert_eq!((got.status, got.complete), (StatusCode::OK, true));
-    assert_whole(&got.body);
-    let takeovers = deployment.instance.lines_with("\"takeover\"");
+    let caller_address = deployment.instance.caller_address;
+    let stream =
+        tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
+    let index = deployment.wait_for_run().await;
+    deployment.engines[index].freeze();
+    let response = stream.await.expect("a task").expect("an answer");
+    assert_eq!((response.status, response.complete), (StatusCode::OK, true));
+    assert_all_events(&response.body);
+    let takeovers = deployment.instance.log_lines_containing("\"takeover\"");
     assert!(
         takeovers.iter().any(|line| line.contains("\"quiet\"")),
         "{takeovers:?}"
@@ -161,67 +166,70 @@
 /// end, and a stream that cannot be repeated has run twice. The one that can be reached has to
 /// stop; it holds the run's memory, and the caller's stream goes on there, whole.
 #[tokio::test]
-async fn a_run_stops_when_another_engine_may_be_at_work_on_it() {
+async fn run_stops_when_another_engine_may_execute_it() {
     let deployment = deployment(2).await;
-    let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
-    let place = deployment.running_at().await;
-    let other = &deployment.engines[1 - place];
+    let caller_address = deployment.instance.caller_address;
+    let stream =
+        tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
+    let index = deployment.wait_for_run().await;
+    let other = &deployment.engines[1 - index];
     other.mute();
-    let engine = &deployment.engines[place];
-    let id = format!("m{}", place + 1);
+    let engine = &deployment.engines[index];
+    let id = format!("m{}", index + 1);
     let entry = engine.leaving_entry("model", "a");
     deployment.store.list(&id, &entry);
-    until("the engine has gone on with what it stopped", || async {
-        let ran = engine.ran();
-        ran.iter().any(|call| call.header("kv-from").is_some())
+    wait_until("the engine has gone on with what it stopped", || async {
+        let calls = engine.ran();
+        calls.iter().any(|call| call.header("kv-from").is_some())
     })
     .await;
     assert_eq!(other.ran().len(), 1);
-    let got = stream.await.expect("a task").expect("an answer");
-    assert_eq!((got.status, got.complete), (StatusCode::OK, true));
-    assert_whole(&got.body);
+    let response = stream.await.expect("a task").expect("an answer");
+    assert_eq!((response.status, response.complete), (StatusCode::OK, true));
+    assert_all_events(&response.body);
 }
 
 /// A partition parts a stream from its engine for some seconds, and the engine with its
 /// copy is dead. The stream's connection has not broken, so what its engine made comes late
 /// once it is heard of again, and the caller has its whole answer.
 #[tokio::test]
-async fn a_stream_waits_for_its_engine_when_the_copy_is_dead() {
+async fn stream_waits_for_its_engine_when_the_backup_is_dead() {
     let deployment = deployment(3).await;
-    let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
-    let place = deployment.running_at().await;
-    let sent = deployment.instance.lines_with("\"sent\"");
+    let caller_address = deployment.instance.caller_address;
+    let stream =
+        tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
+    let index = deployment.wait_for_run().await;
+    let sent = deployment.instance.log_lines_containing("\"sent\"");
     let holder = (0..3).find(|engine| sent[0].contains(&format!("\"copy\":\"m{}\"", engine + 1)));
     deployment.engines[holder.expect("a copy")].crash();
-    deployment.engines[place].freeze();
-    until("the stream waits", || async {
+    deployment.engines[index].freeze();
+    wait_until("the stream waits", || async {
         !deployment
             .instance
-            .lines_with("waits for its engine")
+            .log_lines_containing("waits for its engine")
             .is_empty()
     })
     .await;
-    deployment.engines[place].thaw();
-    let got = stream.await.expect("a task").expect("an answer");
-    assert_eq!((got.status, got.complete), (StatusCode::OK, true));
-    assert_whole(&got.body);
+    deployment.engines[index].thaw();
+    let response = stream.await.expect("a task").expect("an answer");
+    assert_eq!((response.status, response.complete), (StatusCode::OK, true));
+    assert_all_events(&response.body);
 }
 
 /// The only engine dies, and there is no copy. What the caller has must not look whole.
 #[tokio::test]
-async fn a_stream_that_cannot_go_on_does_not_look_whole() {
+async fn stream_without_backup_ends_incomplete() {
     let deployment = deployment(1).await;
-    let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/draft/7")).await });
-    deployment.running_at().await;
+    let caller_address = deployment.instance.caller_address;
+    let stream =
+        tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
+    deployment.wait_for_run().await;
     deployment.engines[0].crash();
-    let got = stream.await.expect("a task").expect("an answer");
-    assert!(!got.complete);
-    assert!(got.body.len() < 20 * EVENTS as usize);
-    until("the log names the request and the cause", || async {
-        let lines = deployment.instance.lines_with("stream ended");
+    let response = stream.await.expect("a task").expect("an answer");
+    assert!(!response.complete);
+    assert!(response.body.len() < 20 * EVENTS_PER_STREAM as usize);
+    wait_until("the log names the request and the cause", || async {
+        let lines = deployment.instance.log_lines_containing("stream ended");
         lines
             .iter()
             .any(|line| line.contains("\"r1\"") && line.contains("no copy"))
@@ -230,9 +238,9 @@
 }
 
 /// The events of a stream behind one of them.
-fn events_behind(last: u32) -> String {
-    let events =
-        (last + 1..=EVENTS).map(|number| format!("id: {number}\ndata: token {number}\n\n"));
+fn events_after(last: u32) -> String {
+    let events = (last + 1..=EVENTS_PER_STREAM)
+        .map(|number| format!("id: {number}\ndata: token {number}\n\n"));
     events.collect()
 }
 
@@ -240,18 +248,19 @@
 /// it has. Where streams can be resumed it gets what follows; elsewhere its word counts for
 /// nothing, and it gets the whole stream.
 #[tokio::test]
-async fn a_caller_resumes_its_stream_where_that_is_allowed() {
+async fn last_event_id_is_honoured_only_on_resumable_routes() {
     let deployment = deployment(2).await;
-    for (path, expected) in [
-        ("/tag/7", events_behind(40)),
-        ("/draft/7", events_behind(0)),
-    ] {
+    for (path, expected) in [("/tag/7", events_after(40)), ("/draft/7", events_after(0))] {
         let mut request = Ask::new(path, path);
         request.extra.push(("last-event-id", "40"));
-        let got = ask(deployment.instance.callers, &request).await;
-        let got = got.expect("an answer");
-        assert_eq!((got.status, got.complete), (StatusCode::OK, true), "{path}");
-        assert_eq!(got.body, expected, "{path}");
+        let response = ask(deployment.instance.caller_address, &request).await;
+        let response = response.expect("an answer");
+        assert_eq!(
+            (response.status, response.complete),
+            (StatusCode::OK, true),
+            "{path}"
+        );
+        assert_eq!(response.body, expected, "{path}");
     }
 }
 
@@ -259,10 +268,10 @@
 /// tokens are expected or memory is short. Another engine can begin behind the last event
 /// that the caller has, also one that the caller itself had named before.
 #[tokio::test]
-async fn a_resumable_stream_goes_on_without_a_copy() {
+async fn resumable_stream_continues_without_backup() {
     let deployment = deployment(3).await;
     for (number, first) in [(1, 0), (2, 20)] {
-        let callers = deployment.instance.callers;
+        let caller_address = deployment.instance.caller_address;
         let stream = tokio::spawn(async move {
             let id = format!("r{number}");
             let mut request = Ask::new(&id, "/tag/7");
@@ -270,14 +279,14 @@
             if first > 0 {
                 request.extra.push(("last-event-id", "20"));
             }
-            ask(callers, &request).await
+            ask(caller_address, &request).await
         });
         let id = format!("r{number}");
-        let place = deployment.serving(&id).await;
-        deployment.engines[place].crash();
-        let got = stream.await.expect("a task").expect("an answer");
-        assert_eq!((got.status, got.complete), (StatusCode::OK, true));
-        assert_eq!(got.body, events_behind(first));
+        let index = deployment.wait_for_run_of(&id).await;
+        deployment.engines[index].crash();
+        let response = stream.await.expect("a task").expect("an answer");
+        assert_eq!((response.status, response.complete), (StatusCode::OK, true));
+        assert_eq!(response.body, events_after(first));
     }
 }
 
@@ -285,24 +294,24 @@
 /// Nothing has reached the caller, so another engine serves it from the start; the caller
 /// notices a longer wait.
 #[tokio::test]
-async fn a_resumable_stream_begins_again_before_its_first_event() {
+async fn resumable_stream_restarts_before_its_first_event() {
     let deployment = slow_deployment(2, Duration::from_millis(400)).await;
-    let callers = deployment.instance.callers;
-    let stream = tokio::spawn(async move { ask(callers, &Ask::new("r1", "/tag/7")).await });
-    until("an engine has the run", || async {
+    let caller_address = deployment.instance.caller_address;
+    let stream = tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/tag/7")).await });
+    wait_until("an engine has the run", || async {
         deployment
             .engines
             .iter()
             .any(|engine| !engine.ran().is_empty())
     })
     .await;
-    let place = deployment
+    let index = deployment
         .engines
         .iter()
         .position(|engine| !engine.ran().is_empty());
-    deployment.engines[place.expect("an engine")].crash();
-    let got = stream.await.expect("a task").expect("an answer");
-    assert_eq!((got.status, got.complete), (StatusCode::OK, true));
+    deployment.engines[index.expect("an engine")].crash();
+    let response = stream.await.expect("a task").expect("an answer");
+    assert_eq!((response.status, response.complete), (StatusCode::OK, true));
     let events = (1..=3).map(|number| format!("id: {number}\ndata: token {number}\n\n"));
-    assert_eq!(got.body, events.collect::<String>());
+    assert_eq!(response.body, events.collect::<String>());
 }
--- a/crates/carawayhead/tests/orders.rs
+++ b/crates/carawayhead/tests/orders.rs
@@ -29,7 +29,7 @@
         );
         assert_eq!((first.0, second.0), (200, 200));
         assert_eq!(first.1, second.1);
-        assert_eq!(cluster.count_runs(&key).await, 1);
+        assert_eq!(cluster.run_count(&key).await, 1);
     }
 }
 
@@ -55,7 +55,7 @@
     let key = new_idempotency_key();
     let (status, problem) = cluster.call(0, CallerRequest::order(&key, "print 5")).await;
     assert_eq!((status, &problem["outcome"]), (503, &json!("not-run")));
-    assert_eq!(cluster.count_runs(&key).await, 0);
+    assert_eq!(cluster.run_count(&key).await, 0);
     cluster
         .post(&cluster.log.address, "/control", &json!({"outage": false}))
         .await;
@@ -65,7 +65,7 @@
             status == 200
         })
         .await;
-    assert_eq!(cluster.count_runs(&key).await, 1);
+    assert_eq!(cluster.run_count(&key).await, 1);
 }
 
 /// The service runs an order but its response is lost. A retry would run it twice, so this
@@ -86,7 +86,7 @@
     let (status, problem) = cluster.call(1, CallerRequest::order(&key, "print 5")).await;
     assert_eq!((status, &problem["code"]), (409, &json!("earlier_attempt")));
     assert_eq!(problem["outcome"], json!("may-have-run"));
-    assert_eq!(cluster.count_runs(&key).await, 1);
+    assert_eq!(cluster.run_count(&key).await, 1);
 }
 
 /// An instance freezes while it handles an order, and the caller repeats the order through
@@ -111,7 +111,7 @@
         };
         let ((first, _), second) = tokio::join!(frozen, other);
         assert!(first == 200 && second == 200, "{first} {second}");
-        assert_eq!(cluster.count_runs(&key).await, 1);
+        assert_eq!(cluster.run_count(&key).await, 1);
     }
 }
 
@@ -131,9 +131,7 @@
     let key = new_idempotency_key();
     {
         let order = cluster.send(0, CallerRequest::order(&key, "fire 9"));
-        let sent = cluster.wait_until("the service runs the order", async || {
-            cluster.count_runs(&key).await == 1
-        });
+        let sent = cluster.wait_until("the order ran", async || cluster.run_count(&key).await == 1);
         tokio::select! {
             _ = order => panic!("the order ended before its 60 s delay"),
             () = sent => {}
@@ -143,7 +141,7 @@
     cluster.unregister("entry-0").await;
     let (status, problem) = cluster.call(1, CallerRequest::order(&key, "fire 9")).await;
     assert_eq!((status, &problem["code"]), (409, &json!("earlier_attempt")));
-    assert_eq!(cluster.count_runs(&key).await, 1);
+    assert_eq!(cluster.run_count(&key).await, 1);
 }
 
 /// No service listens at the listed address. Nothing was sent, so the order is rejected as
@@ -163,7 +161,7 @@
             status == 200
         })
         .await;
-    assert_eq!(cluster.count_runs(&key).await, 1);
+    assert_eq!(cluster.run_count(&key).await, 1);
 }
 
 /// The response of a service that deduplicates by idempotency key is lost. The order is
@@ -184,5 +182,5 @@
     let key = new_idempotency_key();
     let (status, _) = cluster.call(0, CallerRequest::order(&key, "print 5")).await;
     assert_eq!(status, 200);
-    assert_eq!(cluster.count_runs(&key).await, 1);
+    assert_eq!(cluster.run_count(&key).await, 1);
 }
--- a/crates/carawayhead/tests/soak/callers.rs
+++ b/crates/carawayhead/tests/soak/callers.rs
@@ -1,7 +1,7 @@
 //! Callers that send one request after the other, and what they got.
 
 use {
-    crate::deployment::EVENTS,
+    crate::deployment::EVENTS_PER_STREAM,
     platform::standin::caller::{Ask, Got, Session},
     rand::{RngExt as _, SeedableRng as _, rngs::SmallRng},
     std::{
@@ -13,15 +13,15 @@
 };
 
 /// Paths of the three routes.
-const PATHS: [&str; 3] = ["/draft/x", "/look/x", "/order/x"];
+const ROUTE_PATHS: [&str; 3] = ["/draft/x", "/look/x", "/order/x"];
 
 /// A request and its end.
 #[derive(Clone, Debug)]
 pub struct Record {
-    pub began: Instant,
+    pub started: Instant,
     pub ended: Instant,
     /// What came back; `None` if the connection ended before an answer.
-    pub got: Option<Got>,
+    pub response: Option<Got>,
     pub id: String,
     pub key: &'static str,
     pub path: &'static str,
@@ -31,7 +31,7 @@
 pub type Addresses = watch::Receiver<Vec<SocketAddr>>;
 
 /// Sends requests until told to stop, on connections that are used until they end.
-pub async fn call(
+pub async fn run_caller(
     number: usize,
     seed: u64,
     addresses: Addresses,
@@ -62,23 +62,23 @@
         count += 1;
         let id = format!("c{number}-{count}");
         let key = ["key-1", "key-2"][random.random_range(0..2)];
-        let path = PATHS[random.random_range(0..PATHS.len())];
-        let mut ask = Ask::new(&id, path);
-        ask.key = key;
-        ask.deadline_ms = 3000;
-        let began = Instant::now();
-        let got = match &mut session {
-            Some(session) => session.ask(&ask).await,
+        let path = ROUTE_PATHS[random.random_range(0..ROUTE_PATHS.len())];
+        let mut request = Ask::new(&id, path);
+        request.key = key;
+        request.deadline_ms = 3000;
+        let started = Instant::now();
+        let response = match &mut session {
+            Some(session) => session.ask(&request).await,
             None => None,
         };
-        if got.as_ref().is_none_or(|got| !got.complete) {
+        if response.as_ref().is_none_or(|response| !response.complete) {
             session = None;
         }
         let ended = Instant::now();
         records.lock().expect("not poisoned").push(Record {
-            began,
+            started,
             ended,
-            got,
+            response,
             id,
             key,
             path,
@@ -89,8 +89,8 @@
 
 /// Checks that the events of a stream are there once, in order, and all of them if it
 /// ended as complete.
-pub fn check_events(record: &Record, got: &Got) -> Result<(), String> {
-    let ids = got
+pub fn check_events(record: &Record, response: &Got) -> Result<(), String> {
+    let ids = response
         .body
         .split("\n\n")
         .filter(|event| event.ends_with(|end: char| end.is_ascii_digit()));
@@ -99,21 +99,21 @@
         line[4..].parse::<u32>().ok()
     });
     let numbers = numbers.collect::<Vec<_>>();
-    let whole = if got.complete {
-        EVENTS as usize
+    let expected_len = if response.complete {
+        EVENTS_PER_STREAM as usize
     } else {
         numbers.len()
     };
-    let expected = (1..=u32::try_from(whole).unwrap_or(u32::MAX)).collect::<Vec<_>>();
+    let expected = (1..=u32::try_from(expected_len).unwrap_or(u32::MAX)).collect::<Vec<_>>();
     // The last event of a stream that broke off may be cut.
-    let cut = !got.complete
+    let truncated = !response.complete
         && numbers.len() > 1
         && numbers[..numbers.len() - 1] == expected[..expected.len() - 1];
-    if numbers == expected || cut {
+    if numbers == expected || truncated {
         return Ok(());
     }
     Err(format!(
         "{}: events {numbers:?}, complete: {}",
-        record.id, got.complete
+        record.id, response.complete
     ))
 }
--- a/crates/carawayhead/tests/soak/deployment.rs
+++ b/crates/carawayhead/tests/soak/deployment.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        instance::{Instance, until},
-        loopback::Loopback,
+        instance::{Instance, wait_until},
+        loopback::FaultProxy,
     },
     platform::standin::{
         Desk, Engine, Store,
@@ -15,31 +15,31 @@
 };
 
 /// Events of a stream; at 15 ms each it lasts 0.9 s.
-pub const EVENTS: u32 = 60;
+pub const EVENTS_PER_STREAM: u32 = 60;
 
 /// Failure domains; there is an instance in each.
 pub const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
 /// A back end behind its proxy.
-pub struct Placed<T> {
+pub struct ProxiedServer<T> {
     pub server: T,
-    pub proxy: Loopback,
+    pub proxy: FaultProxy,
     pub id: String,
     pub domain: &'static str,
 }
 
 /// One place for an instance, which is started again there.
-pub struct Seat {
+pub struct InstanceSlot {
     pub instance: Option<Instance>,
-    pub proxy: Loopback,
+    pub proxy: FaultProxy,
     name: String,
     domain: &'static str,
 }
 
-impl Seat {
+impl InstanceSlot {
     /// Starts an instance there.
     pub async fn start(&mut self) {
-        let started = Instance::start_at(&self.name, self.domain, self.proxy.address).await;
+        let started = Instance::start_with_store(&self.name, self.domain, self.proxy.address).await;
         self.instance = Some(started);
     }
 
@@ -53,7 +53,7 @@
     /// Whether its instance says that callers may be sent to it.
     pub async fn is_ready(&self) -> bool {
         match &self.instance {
-            Some(instance) => caller::is_ready(instance.ready).await,
+            Some(instance) => caller::is_ready(instance.readiness_address).await,
             None => false,
         }
     }
@@ -61,16 +61,16 @@
 
 /// Everything that a soak runs against.
 pub struct Deployment {
-    pub desks: Vec<Placed<Desk>>,
-    pub engines: Vec<Placed<Engine>>,
+    pub services: Vec<ProxiedServer<Desk>>,
+    pub engines: Vec<ProxiedServer<Engine>>,
     /// Engines and desks that are gone, with what they ran.
-    pub gone: Vec<Engine>,
+    pub removed_engines: Vec<Engine>,
     pub keys: Vec<&'static str>,
-    pub seats: Vec<Seat>,
+    pub slots: Vec<InstanceSlot>,
     pub store: Store,
-    started: u32,
-    version: u64,
-    world: Arc<World>,
+    engines_started: u32,
+    config_version: u64,
+    shared_runs: Arc<World>,
 }
 
 impl Deployment {
@@ -78,15 +78,15 @@
     pub async fn start(seed: u64) -> Self {
         let store = Store::start().await;
         let mut deployment = Self {
-            desks: Vec::new(),
+            services: Vec::new(),
             engines: Vec::new(),
-            gone: Vec::new(),
+            removed_engines: Vec::new(),
             keys: vec!["key-1", "key-2"],
-            seats: Vec::new(),
+            slots: Vec::new(),
             store,
-            started: 0,
-            version: 0,
-            world: Arc::default(),
+            engines_started: 0,
+            config_version: 0,
+            shared_runs: Arc::default(),
         };
         deployment.publish();
         for domain in ["a", "b", "c", "a"] {
@@ -95,12 +95,12 @@
         for domain in ["a", "b"] {
             let id = format!("desk-{domain}");
             let mut server = Desk::start(&id).await;
-            let proxy = Loopback::start(server.address).await;
+            let proxy = FaultProxy::start(server.address).await;
             server.address = proxy.address;
             deployment
                 .store
                 .list(&id, &server.entry("desk", domain, "ready"));
-            deployment.desks.push(Placed {
+            deployment.services.push(ProxiedServer {
                 server,
                 proxy,
                 id,
@@ -108,46 +108,46 @@
             });
         }
         for domain in DOMAINS {
-            let proxy = Loopback::start(deployment.store.address).await;
+            let proxy = FaultProxy::start(deployment.store.address).await;
             let name = format!("soak-{seed}-{domain}");
-            let mut seat = Seat {
+            let mut slot = InstanceSlot {
                 instance: None,
                 proxy,
                 name,
                 domain,
             };
-            seat.start().await;
-            deployment.seats.push(seat);
+            slot.start().await;
+            deployment.slots.push(slot);
         }
-        deployment.settle().await;
+        deployment.wait_until_ready().await;
         deployment
     }
 
     /// Waits until every instance may be sent callers.
-    pub async fn settle(&self) {
-        for seat in &self.seats {
-            until("an instance is ready", || seat.is_ready()).await;
+    pub async fn wait_until_ready(&self) {
+        for slot in &self.slots {
+            wait_until("an instance is ready", || slot.is_ready()).await;
         }
     }
 
     /// Publishes the next version of the configuration.
     pub fn publish(&mut self) {
-        self.version += 1;
+        self.config_version += 1;
         self.store
-            .operate("config", &config(self.version, &self.keys, 10_000));
+            .operate("config", &config(self.config_version, &self.keys, 10_000));
     }
 
     /// Starts an engine and lists it.
     pub async fn add_engine(&mut self, domain: &'static str) {
-        self.started += 1;
-        let id = format!("m{}", self.started);
+        self.engines_started += 1;
+        let id = format!("m{}", self.engines_started);
         let gap = Duration::from_millis(15);
-        let mut server = Engine::start(&self.world, &id, EVENTS, gap).await;
-        let proxy = Loopback::start(server.address).await;
+        let mut server = Engine::start(&self.shared_runs, &id, EVENTS_PER_STREAM, gap).await;
+        let proxy = FaultProxy::start(server.address).await;
         server.reached_at(proxy.address);
         self.store
             .list(&id, &server.entry("model", domain, "ready"));
-        self.engines.push(Placed {
+        self.engines.push(ProxiedServer {
             server,
             proxy,
             id,
@@ -156,19 +156,19 @@
     }
 
     /// An engine says that it leaves.
-    pub fn announce(&self, place: usize) {
-        let engine = &self.engines[place];
+    pub fn announce_leaving(&self, index: usize) {
+        let engine = &self.engines[index];
         let entry = engine.server.leaving_entry("model", engine.domain);
         self.store.list(&engine.id, &entry);
     }
 
     /// An engine dies; another one takes its place under a new id.
-    pub async fn replace(&mut self, place: usize) {
-        let engine = self.engines.remove(place);
+    pub async fn replace(&mut self, index: usize) {
+        let engine = self.engines.remove(index);
         engine.server.crash();
-        engine.proxy.reset();
+        engine.proxy.reset_connections();
         self.store.list(&engine.id, "");
-        self.gone.push(engine.server);
+        self.removed_engines.push(engine.server);
         self.add_engine(engine.domain).await;
     }
 }
--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -21,7 +21,7 @@
         caller::{Ask, ask},
     },
     rand::{SeedableRng as _, rngs::SmallRng},
-    script::{Script, Theme},
+    script::{FaultInjector, Mode},
     std::{
         collections::BTreeMap,
         sync::{Arc, Mutex},
@@ -31,18 +31,18 @@
 };
 
 /// Callers at work.
-const CALLERS: usize = 20;
+const CALLER_COUNT: usize = 20;
 
 /// Time after which a key that was taken away must not be used any more, with a second for
 /// the way of a request on a machine that is busy with other things.
-const REVOCATION: Duration = Duration::from_secs(6);
+const REVOCATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Seeds that failed once; they are run again each time.
 ///
 /// None so far.
 const REGRESSIONS: [u64; 0] = [];
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_or_default(name: &str, default: u64) -> u64 {
     let value = std::env::var(name)
         .ok()
         .and_then(|value| value.parse().ok());
@@ -54,37 +54,40 @@
 /// though it was told that it was not, a key that still works long after it was taken away;
 /// an operator instances that do not serve again once all is well.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_under_faults() {
-    let (first, count) = (setting("SOAK_SEED", 1), setting("SOAK_SEEDS", 2));
-    let length = Duration::from_secs(setting("SOAK_SECONDS", 6));
+async fn guarantees_hold_under_faults() {
+    let (first, count) = (
+        env_or_default("SOAK_SEED", 1),
+        env_or_default("SOAK_SEEDS", 2),
+    );
+    let length = Duration::from_secs(env_or_default("SOAK_SECONDS", 6));
     let seeds = (first..first + count).chain(REGRESSIONS);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for seed in seeds {
         println!("seed {seed}");
-        let faults = soak(seed, length).await;
+        let faults = run_seed(seed, length).await;
         for fault in &faults {
             println!("seed {seed}: {fault}");
         }
-        broken.extend(faults);
+        violations.extend(faults);
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 /// Runs one seed; returns what was broken.
-async fn soak(seed: u64, length: Duration) -> Vec<String> {
-    let theme = if seed.is_multiple_of(4) {
-        Theme::Planned
+async fn run_seed(seed: u64, length: Duration) -> Vec<String> {
+    let mode = if seed.is_multiple_of(4) {
+        Mode::Planned
     } else {
-        Theme::Faults
+        Mode::Faults
     };
     let mut deployment = Deployment::start(seed).await;
-    let (mut script, listening) = Script::new(theme, SmallRng::seed_from_u64(seed));
-    script.announce(&deployment);
+    let (mut injector, listening) = FaultInjector::new(mode, SmallRng::seed_from_u64(seed));
+    injector.publish_addresses(&deployment);
     let (stop, stopped) = watch::channel(false);
     let records = Arc::new(Mutex::new(Vec::new()));
-    let callers = (0..CALLERS).map(|number| {
+    let callers = (0..CALLER_COUNT).map(|number| {
         let records = Arc::clone(&records);
-        tokio::spawn(callers::call(
+        tokio::spawn(callers::run_caller(
             number,
             seed,
             listening.clone(),
@@ -93,132 +96,148 @@
         ))
     });
     let callers = callers.collect::<Vec<_>>();
-    script.run(&mut deployment, length).await;
+    injector.run(&mut deployment, length).await;
     stop.send_replace(true);
     for caller in callers {
         caller.await.expect("a caller that ends");
     }
     let records = records.lock().expect("not poisoned").clone();
-    let mut broken = check(&deployment, &script, &records);
-    if theme == Theme::Planned {
-        broken.extend(check_planned(&records));
+    let mut violations = check_guarantees(&deployment, &injector, &records);
+    if mode == Mode::Planned {
+        violations.extend(check_planned(&records));
     }
     deployment.keys = vec!["key-1", "key-2"];
     deployment.publish();
-    deployment.settle().await;
-    broken.extend(check_service(&deployment).await);
+    deployment.wait_until_ready().await;
+    violations.extend(check_recovery(&deployment).await);
     let answered = records.iter().filter(|record| answered(record)).count();
     println!(
-        "seed {seed}: {theme:?}, {} changes, {} requests, {answered} answered, {} broken",
-        script.faults,
+        "seed {seed}: {mode:?}, {} changes, {} requests, {answered} answered, {} broken",
+        injector.faults,
         records.len(),
-        broken.len()
+        violations.len()
     );
-    if !broken.is_empty() {
-        keep_logs(seed, &deployment);
+    if !violations.is_empty() {
+        save_logs(seed, &deployment);
     }
-    broken
+    violations
 }
 
 fn answered(record: &Record) -> bool {
-    let got = record.got.as_ref();
-    got.is_some_and(|got| got.complete && got.status == StatusCode::OK)
+    let response = record.response.as_ref();
+    response.is_some_and(|response| response.complete && response.status == StatusCode::OK)
 }
 
 /// When each request was run at a back end, by id; goings-on of a run do not count.
 fn runs(deployment: &Deployment) -> BTreeMap<String, Vec<Instant>> {
     let mut runs = BTreeMap::<String, Vec<Instant>>::new();
-    let desks = deployment.desks.iter().flat_map(|desk| desk.server.ran());
+    let services = deployment
+        .services
+        .iter()
+        .flat_map(|service| service.server.ran());
     let engines = deployment.engines.iter().map(|engine| &engine.server);
-    let engines = engines.chain(&deployment.gone).flat_map(Engine::ran);
-    for call in desks.chain(engines).filter(|call| !call.goes_on()) {
+    let engines = engines
+        .chain(&deployment.removed_engines)
+        .flat_map(Engine::ran);
+    for call in services.chain(engines).filter(|call| !call.goes_on()) {
         runs.entry(call.id().to_string()).or_default().push(call.at);
     }
     runs
 }
 
 /// What callers and back ends saw that must never be.
-fn check(deployment: &Deployment, script: &Script, records: &[Record]) -> Vec<String> {
+fn check_guarantees(
+    deployment: &Deployment,
+    injector: &FaultInjector,
+    records: &[Record],
+) -> Vec<String> {
     let runs = runs(deployment);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for record in records {
-        let ran = runs.get(&record.id).map_or(&[][..], Vec::as_slice);
-        if !record.path.starts_with("/look") && ran.len() > 1 {
-            broken.push(format!(
+        let run_times = runs.get(&record.id).map_or(&[][..], Vec::as_slice);
+        if !record.path.starts_with("/look") && run_times.len() > 1 {
+            violations.push(format!(
                 "{} {} ran {} times",
                 record.id,
                 record.path,
-                ran.len()
+                run_times.len()
             ));
         }
-        let Some(got) = &record.got else {
+        let Some(response) = &record.response else {
             continue;
         };
-        let promise = matches!(got.status.as_u16(), 408 | 421 | 429 | 503);
-        if promise && !ran.is_empty() {
-            broken.push(format!("{} got {} and ran", record.id, got.status));
+        let claims_not_run = matches!(response.status.as_u16(), 408 | 421 | 429 | 503);
+        if claims_not_run && !run_times.is_empty() {
+            violations.push(format!("{} got {} and ran", record.id, response.status));
         }
-        if got.id.as_ref().is_some_and(|id| *id != record.id) {
-            broken.push(format!("{} got the answer to {:?}", record.id, got.id));
+        if response.id.as_ref().is_some_and(|id| *id != record.id) {
+            violations.push(format!("{} got the answer to {:?}", record.id, response.id));
         }
-        if got.status != StatusCode::OK {
+        if response.status != StatusCode::OK {
             continue;
         }
-        if !got.sealed {
-            broken.push(format!("{} got a success that no back end gave", record.id));
+        if !response.sealed {
+            violations.push(format!("{} got a success that no back end gave", record.id));
         }
         if record.path.starts_with("/draft") {
-            broken.extend(check_events(record, got).err());
-        } else if !got.body.starts_with(&format!("done {} at ", record.id)) && got.complete {
-            broken.push(format!("{} got {:?}", record.id, got.body));
+            violations.extend(check_events(record, response).err());
+        } else if !response
+            .body
+            .starts_with(&format!("done {} at ", record.id))
+            && response.complete
+        {
+            violations.push(format!("{} got {:?}", record.id, response.body));
         }
     }
-    broken.extend(check_keys(script, records, &runs));
-    broken
+    violations.extend(check_keys(injector, records, &runs));
+    violations
 }
 
 /// No request runs under a key long after it was taken away. Keys are given back to their
 /// holders, so only runs before the next change count.
 fn check_keys(
-    script: &Script,
+    injector: &FaultInjector,
     records: &[Record],
     runs: &BTreeMap<String, Vec<Instant>>,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    for (key, taken, back) in &script.revoked {
+    let mut violations = Vec::new();
+    for (key, taken, back) in &injector.revoked {
         let under = records.iter().filter(|record| record.key == *key);
-        for record in under.filter(|record| record.began > *taken + REVOCATION) {
-            let ran = runs.get(&record.id).map_or(&[][..], Vec::as_slice);
-            if ran.iter().any(|at| back.is_none_or(|back| *at < back)) {
-                broken.push(format!(
+        for record in under.filter(|record| record.started > *taken + REVOCATION_TIMEOUT) {
+            let run_times = runs.get(&record.id).map_or(&[][..], Vec::as_slice);
+            if run_times
+                .iter()
+                .any(|at| back.is_none_or(|back| *at < back))
+            {
+                violations.push(format!(
                     "{} ran under {key} after it was taken away",
                     record.id
                 ));
             }
         }
     }
-    broken
+    violations
 }
 
 /// Planned work cuts no request that an instance has begun to read.
 fn check_planned(records: &[Record]) -> Vec<String> {
-    let cut = records.iter().filter(|record| match &record.got {
-        Some(got) => !got.complete || matches!(got.status.as_u16(), 502 | 504),
+    let cut = records.iter().filter(|record| match &record.response {
+        Some(response) => !response.complete || matches!(response.status.as_u16(), 502 | 504),
         None => false,
     });
     cut.map(|record| {
-        let took = record.ended.duration_since(record.began);
+        let took = record.ended.duration_since(record.started);
         format!("{} {} was cut after {took:?}", record.id, record.path)
     })
     .collect()
 }
 
 /// Once all is well every instance serves again.
-async fn check_service(deployment: &Deployment) -> Vec<String> {
-    let mut broken = Vec::new();
-    for (number, seat) in deployment.seats.iter().enumerate() {
-        let Some(instance) = &seat.instance else {
-            broken.push(format!("instance {number} is gone"));
+async fn check_recovery(deployment: &Deployment) -> Vec<String> {
+    let mut violations = Vec::new();
+    for (number, slot) in deployment.slots.iter().enumerate() {
+        let Some(instance) = &slot.instance else {
+            violations.push(format!("instance {number} is gone"));
             continue;
         };
         for path in ["/look/x", "/draft/x"] {
@@ -226,29 +245,29 @@
             let mut status = None;
             for attempt in 0..40 {
                 let id = format!("{id}-{attempt}");
-                let got = ask(instance.callers, &Ask::new(&id, path)).await;
-                status = got.map(|got| got.status);
+                let response = ask(instance.caller_address, &Ask::new(&id, path)).await;
+                status = response.map(|response| response.status);
                 if status == Some(StatusCode::OK) {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(250)).await;
             }
             if status != Some(StatusCode::OK) {
-                broken.push(format!("instance {number} answers {path} with {status:?}"));
+                violations.push(format!("instance {number} answers {path} with {status:?}"));
             }
         }
     }
-    broken
+    violations
 }
 
 /// Keeps the logs of a seed that failed.
-fn keep_logs(seed: u64, deployment: &Deployment) {
-    for (number, seat) in deployment.seats.iter().enumerate() {
-        let Some(instance) = &seat.instance else {
+fn save_logs(seed: u64, deployment: &Deployment) {
+    for (number, slot) in deployment.slots.iter().enumerate() {
+        let Some(instance) = &slot.instance else {
             continue;
         };
         let file = std::env::temp_dir().join(format!("soak-{seed}-{number}.log"));
-        let text = instance.lines_with("").join("\n");
+        let text = instance.log_lines_containing("").join("\n");
         match std::fs::write(&file, text) {
             Ok(()) => println!("seed {seed}: log in {}", file.display()),
             Err(error) => println!("seed {seed}: log not kept: {error}"),
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -4,7 +4,7 @@
     crate::{
         callers::Addresses,
         deployment::{DOMAINS, Deployment},
-        loopback::{Link, Loopback},
+        loopback::{FaultProxy, LinkState},
     },
     platform::standin::{desk::Conduct, store::Mood},
     rand::{RngExt as _, rngs::SmallRng},
@@ -17,11 +17,11 @@
 };
 
 /// Longer than anything is left harmed.
-const FAR: Duration = Duration::from_hours(1);
+const UNDO_ALL_HORIZON: Duration = Duration::from_hours(1);
 
 /// What a soak may do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Theme {
+pub enum Mode {
     /// Everything.
     Faults,
     /// Planned work only: stops, reloads, configurations, engines that announce themselves.
@@ -31,51 +31,51 @@
 /// What is undone at a time.
 #[derive(Clone, Copy, Debug)]
 enum Undo {
-    Conduct(usize),
-    DeskLink(usize),
+    Service(usize),
+    ServiceLink(usize),
     Domain(usize),
     EngineLink(usize),
     Leave(usize),
-    Mood,
+    StoreBehavior,
     Resume(usize),
     Restart(usize),
-    Stale,
+    StoreHistory,
     StoreLink(usize),
 }
 
 /// Runs a script against a deployment.
-pub struct Script {
+pub struct FaultInjector {
     pub addresses: watch::Sender<Vec<SocketAddr>>,
     /// Faults so far, for the report.
     pub faults: u32,
     /// Keys, when they were taken away, and when they were given back.
     pub revoked: Vec<(&'static str, Instant, Option<Instant>)>,
     random: SmallRng,
-    theme: Theme,
-    undo: Vec<(Instant, Undo)>,
+    mode: Mode,
+    pending_undos: Vec<(Instant, Undo)>,
 }
 
-impl Script {
-    pub fn new(theme: Theme, random: SmallRng) -> (Self, Addresses) {
+impl FaultInjector {
+    pub fn new(mode: Mode, random: SmallRng) -> (Self, Addresses) {
         let (addresses, listening) = watch::channel(Vec::new());
-        let script = Self {
+        let injector = Self {
             addresses,
             faults: 0,
             random,
             revoked: Vec::new(),
-            theme,
-            undo: Vec::new(),
+            mode,
+            pending_undos: Vec::new(),
         };
-        (script, listening)
+        (injector, listening)
     }
 
     /// Tells callers where instances listen.
-    pub fn announce(&self, deployment: &Deployment) {
+    pub fn publish_addresses(&self, deployment: &Deployment) {
         let instances = deployment
-            .seats
+            .slots
             .iter()
-            .filter_map(|seat| seat.instance.as_ref());
-        let listening = instances.map(|instance| instance.callers).collect();
+            .filter_map(|slot| slot.instance.as_ref());
+        let listening = instances.map(|instance| instance.caller_address).collect();
         self.addresses.send_replace(listening);
     }
 
@@ -84,150 +84,151 @@
         let end = Instant::now() + length;
         while Instant::now() < end {
             sleep(Duration::from_millis(self.random.random_range(50..350))).await;
-            self.undo(deployment, Instant::now()).await;
+            self.undo_due(deployment, Instant::now()).await;
             self.faults += 1;
-            match self.theme {
-                Theme::Faults if self.random.random_bool(0.7) => self.harm(deployment).await,
-                Theme::Faults | Theme::Planned => self.plan(deployment),
+            match self.mode {
+                Mode::Faults if self.random.random_bool(0.7) => self.inject_fault(deployment).await,
+                Mode::Faults | Mode::Planned => self.apply_planned_change(deployment),
             }
         }
         // An instance that is told to stop takes up to its grace to end.
-        while !self.undo.is_empty() {
-            self.undo(deployment, Instant::now() + FAR).await;
+        while !self.pending_undos.is_empty() {
+            self.undo_due(deployment, Instant::now() + UNDO_ALL_HORIZON)
+                .await;
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    fn later(&mut self, least: u64, most: u64, undo: Undo) {
-        let wait = Duration::from_millis(self.random.random_range(least..most));
-        self.undo.push((Instant::now() + wait, undo));
+    fn schedule_undo(&mut self, min_ms: u64, max_ms: u64, undo: Undo) {
+        let wait = Duration::from_millis(self.random.random_range(min_ms..max_ms));
+        self.pending_undos.push((Instant::now() + wait, undo));
     }
 
-    fn pending(&self, wanted: impl Fn(&Undo) -> bool) -> bool {
-        self.undo.iter().any(|(_, undo)| wanted(undo))
+    fn has_pending_undo(&self, wanted: impl Fn(&Undo) -> bool) -> bool {
+        self.pending_undos.iter().any(|(_, undo)| wanted(undo))
     }
 
     /// Planned work.
-    fn plan(&mut self, deployment: &mut Deployment) {
+    fn apply_planned_change(&mut self, deployment: &mut Deployment) {
         match self.random.random_range(0..6) {
-            0 => self.stop(deployment, Signal::TERM),
+            0 => self.stop_instance(deployment, Signal::TERM),
             1 => {
-                let place = self.random.random_range(0..deployment.seats.len());
-                deployment.seats[place].signal(Signal::HUP);
+                let index = self.random.random_range(0..deployment.slots.len());
+                deployment.slots[index].signal(Signal::HUP);
             }
             2 => deployment.publish(),
             3 => self.change_key(deployment),
-            4 if !self.pending(|undo| matches!(undo, Undo::Domain(_))) => {
-                let place = self.random.random_range(0..DOMAINS.len());
-                deployment.store.set_domain(DOMAINS[place], true);
-                self.later(500, 2500, Undo::Domain(place));
+            4 if !self.has_pending_undo(|undo| matches!(undo, Undo::Domain(_))) => {
+                let index = self.random.random_range(0..DOMAINS.len());
+                deployment.store.set_domain(DOMAINS[index], true);
+                self.schedule_undo(500, 2500, Undo::Domain(index));
             }
-            5 if !self.pending(|undo| matches!(undo, Undo::Leave(_))) => {
-                let place = self.random.random_range(0..deployment.engines.len());
-                deployment.announce(place);
+            5 if !self.has_pending_undo(|undo| matches!(undo, Undo::Leave(_))) => {
+                let index = self.random.random_range(0..deployment.engines.len());
+                deployment.announce_leaving(index);
                 // A stream of 0.9 s that has just begun must be able to end there.
-                self.later(1800, 2600, Undo::Leave(place));
+                self.schedule_undo(1800, 2600, Undo::Leave(index));
             }
             _ => {}
         }
     }
 
     /// Unplanned harm.
-    async fn harm(&mut self, deployment: &mut Deployment) {
-        let link = self.link();
+    async fn inject_fault(&mut self, deployment: &mut Deployment) {
+        let fault = self.random_link_fault();
         match self.random.random_range(0..9) {
-            0 => self.stop(deployment, Signal::KILL),
+            0 => self.stop_instance(deployment, Signal::KILL),
             1 => {
-                let place = self.random.random_range(0..deployment.seats.len());
-                if !self.busy(place) {
-                    deployment.seats[place].signal(Signal::STOP);
-                    self.later(100, 6500, Undo::Resume(place));
+                let index = self.random.random_range(0..deployment.slots.len());
+                if !self.is_stopped(index) {
+                    deployment.slots[index].signal(Signal::STOP);
+                    self.schedule_undo(100, 6500, Undo::Resume(index));
                 }
             }
             2 => {
-                let place = self.random.random_range(0..deployment.seats.len());
-                self.harm_link(&deployment.seats[place].proxy, link);
-                self.later(200, 7000, Undo::StoreLink(place));
+                let index = self.random.random_range(0..deployment.slots.len());
+                self.apply_link_fault(&deployment.slots[index].proxy, fault);
+                self.schedule_undo(200, 7000, Undo::StoreLink(index));
             }
             3 => {
-                let place = self.random.random_range(0..deployment.engines.len());
-                self.harm_link(&deployment.engines[place].proxy, link);
-                self.later(200, 3000, Undo::EngineLink(place));
+                let index = self.random.random_range(0..deployment.engines.len());
+                self.apply_link_fault(&deployment.engines[index].proxy, fault);
+                self.schedule_undo(200, 3000, Undo::EngineLink(index));
             }
             4 => {
-                let place = self.random.random_range(0..deployment.desks.len());
-                self.harm_link(&deployment.desks[place].proxy, link);
-                self.later(200, 3000, Undo::DeskLink(place));
+                let index = self.random.random_range(0..deployment.services.len());
+                self.apply_link_fault(&deployment.services[index].proxy, fault);
+                self.schedule_undo(200, 3000, Undo::ServiceLink(index));
             }
             5 => {
-                let mood = [Mood::Busy, Mood::Silent][self.random.random_range(0..2)];
-                deployment.store.set_mood(mood);
-                self.later(200, 7000, Undo::Mood);
+                let behavior = [Mood::Busy, Mood::Silent][self.random.random_range(0..2)];
+                deployment.store.set_mood(behavior);
+                self.schedule_undo(200, 7000, Undo::StoreBehavior);
             }
             6 => {
                 deployment.store.forget(self.random.random_range(0..4));
-                self.later(500, 4000, Undo::Stale);
+                self.schedule_undo(500, 4000, Undo::StoreHistory);
             }
-            7 if !self.pending(|undo| matches!(undo, Undo::Leave(_))) => {
-                let place = self.random.random_range(0..deployment.engines.len());
-                deployment.replace(place).await;
+            7 if !self.has_pending_undo(|undo| matches!(undo, Undo::Leave(_))) => {
+                let index = self.random.random_range(0..deployment.engines.len());
+                deployment.replace(index).await;
             }
             8 => {
-                let place = self.random.random_range(0..deployment.desks.len());
-                let conducts = [
+                let index = self.random.random_range(0..deployment.services.len());
+                let behaviors = [
                     Conduct::Confused,
                     Conduct::Full,
                     Conduct::Lost,
                     Conduct::Slow,
                     Conduct::Unsealed,
                 ];
-                let conduct = conducts[self.random.random_range(0..conducts.len())];
-                deployment.desks[place].server.conduct(conduct);
-                self.later(200, 2000, Undo::Conduct(place));
+                let behavior = behaviors[self.random.random_range(0..behaviors.len())];
+                deployment.services[index].server.conduct(behavior);
+                self.schedule_undo(200, 2000, Undo::Service(index));
             }
             _ => {}
         }
     }
 
-    fn link(&mut self) -> Option<Link> {
+    fn random_link_fault(&mut self) -> Option<LinkState> {
         let delay = Duration::from_millis(self.random.random_range(5..300));
-        let links = [
-            Some(Link::Slow(delay)),
-            Some(Link::CutThere),
-            Some(Link::CutBack),
-            Some(Link::Silent),
+        let candidates = [
+            Some(LinkState::Delayed(delay)),
+            Some(LinkState::BlockedToTarget),
+            Some(LinkState::BlockedFromTarget),
+            Some(LinkState::Blocked),
             None,
         ];
-        links[self.random.random_range(0..links.len())]
+        candidates[self.random.random_range(0..candidates.len())]
     }
 
     /// Harms a way, or its open connections only.
-    fn harm_link(&mut self, proxy: &Loopback, link: Option<Link>) {
-        match link {
-            Some(link) => proxy.set(link),
-            None if self.random.random_bool(0.5) => proxy.reset(),
-            None => proxy.silence(),
+    fn apply_link_fault(&mut self, proxy: &FaultProxy, fault: Option<LinkState>) {
+        match fault {
+            Some(fault) => proxy.set(fault),
+            None if self.random.random_bool(0.5) => proxy.reset_connections(),
+            None => proxy.stall_connections(),
         }
     }
 
     /// Whether an instance is stopped or paused already.
-    fn busy(&self, seat: usize) -> bool {
-        self.pending(
-            |undo| matches!(undo, Undo::Resume(place) | Undo::Restart(place) if *place == seat),
+    fn is_stopped(&self, slot: usize) -> bool {
+        self.has_pending_undo(
+            |undo| matches!(undo, Undo::Resume(index) | Undo::Restart(index) if *index == slot),
         )
     }
 
     /// Stops an instance; one of the others must stay.
-    fn stop(&mut self, deployment: &Deployment, signal: Signal) {
-        let place = self.random.random_range(0..deployment.seats.len());
-        let stopping = (0..deployment.seats.len())
-            .filter(|seat| self.busy(*seat))
+    fn stop_instance(&mut self, deployment: &Deployment, signal: Signal) {
+        let index = self.random.random_range(0..deployment.slots.len());
+        let stopping = (0..deployment.slots.len())
+            .filter(|slot| self.is_stopped(*slot))
             .count();
-        if self.busy(place) || stopping + 1 >= deployment.seats.len() {
+        if self.is_stopped(index) || stopping + 1 >= deployment.slots.len() {
             return;
         }
-        deployment.seats[place].signal(signal);
-        self.later(100, 1500, Undo::Restart(place));
+        deployment.slots[index].signal(signal);
+        self.schedule_undo(100, 1500, Undo::Restart(index));
     }
 
     fn change_key(&mut self, deployment: &mut Deployment) {
@@ -245,9 +246,9 @@
         }
     }
 
-    async fn undo(&mut self, deployment: &mut Deployment, until: Instant) {
+    async fn undo_due(&mut self, deployment: &mut Deployment, until: Instant) {
         let mut due = Vec::new();
-        self.undo.retain(|(at, undo)| {
+        self.pending_undos.retain(|(at, undo)| {
             if *at <= until {
                 due.push(*undo);
             }
@@ -255,34 +256,34 @@
         });
         for undo in due {
             match undo {
-                Undo::Conduct(place) => deployment.desks[place].server.conduct(Conduct::Sound),
-                Undo::DeskLink(place) => deployment.desks[place].proxy.set(Link::Sound),
-                Undo::Domain(place) => deployment.store.set_domain(DOMAINS[place], false),
-                Undo::EngineLink(place) => deployment.engines[place].proxy.set(Link::Sound),
-                Undo::Leave(place) => deployment.replace(place).await,
-                Undo::Mood => deployment.store.set_mood(Mood::Sound),
-                Undo::Resume(place) => deployment.seats[place].signal(Signal::CONT),
-                Undo::Restart(place) => self.restart(deployment, place).await,
-                Undo::Stale => deployment.store.catch_up(),
-                Undo::StoreLink(place) => deployment.seats[place].proxy.set(Link::Sound),
+                Undo::Service(index) => deployment.services[index].server.conduct(Conduct::Sound),
+                Undo::ServiceLink(index) => deployment.services[index].proxy.set(LinkState::Open),
+                Undo::Domain(index) => deployment.store.set_domain(DOMAINS[index], false),
+                Undo::EngineLink(index) => deployment.engines[index].proxy.set(LinkState::Open),
+                Undo::Leave(index) => deployment.replace(index).await,
+                Undo::StoreBehavior => deployment.store.set_mood(Mood::Sound),
+                Undo::Resume(index) => deployment.slots[index].signal(Signal::CONT),
+                Undo::Restart(index) => self.restart(deployment, index).await,
+                Undo::StoreHistory => deployment.store.catch_up(),
+                Undo::StoreLink(index) => deployment.slots[index].proxy.set(LinkState::Open),
             }
         }
     }
 
     /// Starts an instance again once the one before has ended.
-    async fn restart(&mut self, deployment: &mut Deployment, place: usize) {
-        let ended = deployment.seats[place]
+    async fn restart(&mut self, deployment: &mut Deployment, index: usize) {
+        let ended = deployment.slots[index]
             .instance
             .as_mut()
-            .is_none_or(|instance| instance.ended().is_some());
+            .is_none_or(|instance| instance.exit_status().is_some());
         if !ended {
-            self.undo.push((
+            self.pending_undos.push((
                 Instant::now() + Duration::from_millis(100),
-                Undo::Restart(place),
+                Undo::Restart(index),
             ));
             return;
         }
-        deployment.seats[place].start().await;
-        self.announce(deployment);
+        deployment.slots[index].start().await;
+        self.publish_addresses(deployment);
     }
 }
--- a/crates/carawayhead/tests/whole_path.rs
+++ b/crates/carawayhead/tests/whole_path.rs
@@ -52,7 +52,7 @@
         .await;
     assert_eq!((first, second), (200, 200));
     assert_eq!(answer, repeated_answer);
-    assert_eq!(cluster.count_runs(&key).await, 1);
+    assert_eq!(cluster.run_count(&key).await, 1);
     let (status, problem) = cluster
         .call(1, CallerRequest::order(&key, "fire plate 8"))
         .await;
