--- a/crates/carawayhead/tests/forwarding/answers.rs
+++ b/crates/carawayhead/tests/forwarding/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get, and what endpoints run.
+//! Responses that callers receive and calls that endpoints run.
 
 use {
     crate::instance::{Instance, wait_until},
@@ -23,8 +23,8 @@
     (store, instance)
 }
 
-/// A caller sends headers that only the system may set: it would name its own customer,
-/// take a reservation, or go on from another's memory. The endpoint must see the system's.
+/// Headers reserved for the system must not pass from a caller to an endpoint: a caller
+/// could name another customer, take a reservation or read another request's KV cache.
 #[tokio::test]
 async fn reserved_headers_from_callers_are_not_forwarded() {
     let service = Desk::start("d1").await;
@@ -38,7 +38,7 @@
     ];
     let response = ask(instance.caller_address, &request)
         .await
-        .expect("an answer");
+        .expect("the instance responds");
     assert_eq!((response.status, response.sealed), (StatusCode::OK, true));
     assert_eq!(response.body, "done r1 at d1");
     let calls = service.ran();
@@ -54,14 +54,17 @@
     for name in ["authorization", "carawayhead-kv-hold", "kv-from"] {
         assert_eq!(call.header(name), None, "{name}");
     }
-    let left = call
+    let deadline_ms = call
         .header("carawayhead-deadline-ms")
-        .and_then(|left| left.parse::<u32>().ok());
-    assert!(left.is_some_and(|left| left <= 5000), "{left:?}");
+        .and_then(|value| value.parse::<u32>().ok());
+    assert!(
+        deadline_ms.is_some_and(|value| value <= 5000),
+        "{deadline_ms:?}"
+    );
 }
 
-/// A key that no customer holds, a path that no route has, a body over the limit: each
-/// has its own answer, and nothing reaches an endpoint.
+/// An unknown key and a path without a route are rejected with distinct statuses, and
+/// nothing reaches an endpoint.
 #[tokio::test]
 async fn unauthorized_and_unroutable_requests_are_rejected() {
     let service = Desk::start("d1").await;
@@ -74,15 +77,15 @@
     ] {
         let response = ask(instance.caller_address, &request)
             .await
-            .expect("an answer");
+            .expect("the instance responds");
         assert_eq!(response.status, status);
         assert_eq!(response.id.as_deref(), Some(request.id));
     }
     assert_eq!(service.ran().len(), 0);
 }
 
-/// An endpoint books a kiln and its answer is lost. Sending the order again would book
-/// twice; saying that it has not run would have the caller do so.
+/// An endpoint runs an order but its response is lost. A retry, or an answer that the order
+/// has not run, would let it run twice.
 #[tokio::test]
 async fn order_with_lost_response_is_not_retried() {
     let (one, two) = (Desk::start("d1").await, Desk::start("d2").await);
@@ -91,17 +94,22 @@
         service.conduct(Conduct::Lost);
     }
     let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
-    assert_eq!(response.expect("an answer").status, StatusCode::BAD_GATEWAY);
+    assert_eq!(
+        response.expect("the instance responds").status,
+        StatusCode::BAD_GATEWAY
+    );
     assert_eq!(one.ran().len() + two.ran().len(), 1);
-    // A lookup may be repeated, and is.
+    // A lookup is idempotent, so it is retried.
     let response = ask(instance.caller_address, &Ask::new("r2", "/look/7")).await;
-    assert_eq!(response.expect("an answer").status, StatusCode::BAD_GATEWAY);
+    assert_eq!(
+        response.expect("the instance responds").status,
+        StatusCode::BAD_GATEWAY
+    );
     assert_eq!(one.ran().len() + two.ran().len(), 3);
 }
 
-/// A lookup fails with the endpoint's own failure, and the second try finds no endpoint or
-/// one that drops it. The first failure is an answer that was ready: the caller gets it,
-/// and not a failure of this instance's own.
+/// An endpoint answers a lookup with an error, and the retry finds no endpoint or gets no
+/// response. The caller must receive the endpoint's error, not a local reply.
 #[tokio::test]
 async fn endpoint_error_is_forwarded_if_retry_gets_no_response() {
     for second in [None, Some(Conduct::Lost), Some(Conduct::Full)] {
@@ -111,9 +119,9 @@
         let listed = if second.is_some() { 2 } else { 1 };
         let listed = services[..listed].iter().collect::<Vec<_>>();
         let (_store, instance) = deployment(&listed).await;
-        // Which of the two is asked first is left to chance; both orders end alike.
+        // The first endpoint is chosen at random; the result is the same for both.
         let response = ask(instance.caller_address, &Ask::new("r1", "/look/7")).await;
-        let response = response.expect("an answer");
+        let response = response.expect("the instance responds");
         assert_eq!(
             (response.status, response.sealed, response.body.as_str()),
             (StatusCode::INTERNAL_SERVER_ERROR, true, "done r1 at d1"),
@@ -122,30 +130,34 @@
     }
 }
 
-/// One endpoint is full and says that it has not run the order; another one has room.
+/// A full endpoint rejects an order as not run. The order is retried at another endpoint, and
+/// answered with 503 and a retry time if all endpoints are full.
 #[tokio::test]
 async fn rejected_order_is_retried_at_another_endpoint() {
     let (one, two) = (Desk::start("d1").await, Desk::start("d2").await);
     let (_store, instance) = deployment(&[&one, &two]).await;
-    for (full, sound) in [(&one, &two), (&two, &one)] {
+    for (full, healthy) in [(&one, &two), (&two, &one)] {
         full.conduct(Conduct::Full);
-        sound.conduct(Conduct::Sound);
+        healthy.conduct(Conduct::Sound);
         let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
-        assert_eq!(response.expect("an answer").status, StatusCode::OK);
+        assert_eq!(
+            response.expect("the instance responds").status,
+            StatusCode::OK
+        );
     }
     assert_eq!(one.ran().len() + two.ran().len(), 2);
     for service in [&one, &two] {
         service.conduct(Conduct::Full);
     }
     let response = ask(instance.caller_address, &Ask::new("r3", "/order/7")).await;
-    let response = response.expect("an answer");
+    let response = response.expect("the instance responds");
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.retry_after.is_some());
     assert_eq!(one.ran().len() + two.ran().len(), 2);
 }
 
-/// An endpoint answers under another request's id, or a success without its seal. Passed
-/// on, a caller would take another's booking for its own.
+/// A response with another request's ID, or a success without its seal, may belong to
+/// another caller and must not be forwarded.
 #[tokio::test]
 async fn response_with_wrong_id_or_missing_seal_is_not_forwarded() {
     let service = Desk::start("d1").await;
@@ -153,42 +165,43 @@
     for behavior in [Conduct::Confused, Conduct::Unsealed] {
         service.conduct(behavior);
         let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
-        let response = response.expect("an answer");
+        let response = response.expect("the instance responds");
         assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{behavior:?}");
         assert!(!response.body.contains("done"), "{behavior:?}");
     }
 }
 
-/// An instance is told to stop. It says at once that no callers should be sent to it,
-/// serves those who come on open connections, and ends by itself.
+/// After SIGTERM an instance reports that it is not ready, still serves requests on its
+/// listener, and exits by itself.
 #[tokio::test]
 async fn stopping_instance_exits_after_its_last_request() {
     let service = Desk::start("d1").await;
     let (_store, mut instance) = deployment(&[&service]).await;
     instance.signal(rustix::process::Signal::TERM);
     let ready = instance.readiness_address;
-    wait_until("it is not ready", || async move {
+    wait_until("the instance is not ready", || async move {
         !platform::standin::caller::is_ready(ready).await
     })
     .await;
     let response = ask(instance.caller_address, &Ask::new("r1", "/order/7")).await;
-    assert_eq!(response.expect("an answer").status, StatusCode::OK);
-    let mut ended = None;
+    assert_eq!(
+        response.expect("the instance responds").status,
+        StatusCode::OK
+    );
+    let mut exit_status = None;
     for _ in 0..2000 {
-        ended = instance.exit_status();
-        if ended.is_some() {
+        exit_status = instance.exit_status();
+        if exit_status.is_some() {
             break;
         }
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
-    assert!(ended.expect("it ends by itself").success());
+    assert!(exit_status.expect("the instance exits by itself").success());
     assert_eq!(instance.log_lines_containing("\"stopped\"").len(), 1);
 }
 
-/// Orders keep coming while an instance stops, until it is gone. Between two of them it has
-/// nothing in progress and ends; an order that came in its last moments was sent to the desk
-/// and cut off with the process (seed 973547733763 of mixed days on rmpe-stl). Whatever the
-/// desk ran must have been answered.
+/// Orders arrive until a stopping instance has exited. An order accepted just before the exit
+/// must not be sent to the service and then cut off: each order that ran is answered.
 #[tokio::test]
 async fn orders_run_during_shutdown_are_answered() {
     let service = Desk::start("d1").await;
--- a/crates/carawayhead/tests/forwarding/instance.rs
+++ b/crates/carawayhead/tests/forwarding/instance.rs
@@ -1,6 +1,6 @@
-//! One instance as a process of its own.
+//! Starts an instance as a child process.
 
-#![allow(dead_code, reason = "each test program uses a part of it")]
+#![allow(dead_code, reason = "not every test program uses all of these helpers")]
 
 use {
     platform::standin::{caller, store::Store},
@@ -14,25 +14,24 @@
     tokio::time::sleep,
 };
 
-/// Bound on everything that a test waits for; far beyond what any of it takes.
+/// Bound on waiting for a condition, so that a failed test ends.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// An instance, killed when it is dropped.
+/// A running instance, killed on drop.
 pub struct Instance {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
-    /// Where callers reach it.
+    /// Address of the caller listener.
     pub caller_address: SocketAddr,
-    /// Where it says whether callers may be sent to it.
+    /// Address of the readiness check.
     pub readiness_address: SocketAddr,
-    /// Its settings file.
     pub settings_path: std::path::PathBuf,
-    /// Where its metrics are.
+    /// Address of the metrics listener.
     pub metrics_address: SocketAddr,
 }
 
 impl Instance {
-    /// Starts one in a failure domain and waits until it is ready.
+    /// Starts an instance in a failure domain and waits until it is ready.
     pub async fn start(name: &str, domain: &str, store: &Store) -> Self {
         let instance = Self::start_without_waiting(name, domain, store).await;
         wait_until("the instance is ready", || async {
@@ -42,12 +41,12 @@
         instance
     }
 
-    /// Starts one and waits until it listens.
+    /// Starts an instance and waits until it listens, not until it is ready.
     pub async fn start_without_waiting(name: &str, domain: &str, store: &Store) -> Self {
         Self::start_with_store(name, domain, store.address).await
     }
 
-    /// Starts one that reaches the store at an address, and waits until it listens.
+    /// Starts an instance with the store at this address and waits until it listens.
     pub async fn start_with_store(name: &str, domain: &str, store: SocketAddr) -> Self {
         let folder = std::env::temp_dir();
         let file = folder.join(format!(
@@ -62,15 +61,15 @@
              [joint]\nretry_burst = 50\nretry_ratio = 0.2\nretry_window_s = 10\n\
              revocation_ms = 5000\n[store]\naddress = \"{store}\"\n"
         );
-        std::fs::write(&file, settings).expect("a settings file");
+        std::fs::write(&file, settings).expect("the settings file can be written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_carawayhead"))
             .args(["forward", "--settings"])
             .arg(&file)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("an instance");
+            .expect("the binary starts");
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let output = BufReader::new(child.stdout.take().expect("its output"));
+        let output = BufReader::new(child.stdout.take().expect("standard output is piped"));
         let sink = Arc::clone(&lines);
         std::thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
@@ -85,16 +84,16 @@
                 .any(|line| line.contains("\"started\""))
         })
         .await;
-        let known = lines.lock().expect("not poisoned").clone();
+        let startup_lines = lines.lock().expect("not poisoned").clone();
         let address = |role: &str| {
-            let lines = known.iter();
+            let lines = startup_lines.iter();
             let parsed = lines.map(|line| serde_json::from_str::<serde_json::Value>(line));
             let found = parsed
                 .filter_map(Result::ok)
                 .find(|line| line["event"] == "listening" && line["role"] == role);
-            let found = found.expect("a line for each listener");
-            let address = found["address"].as_str().expect("an address");
-            address.parse().expect("an address")
+            let found = found.expect("the log has a line for each listener");
+            let address = found["address"].as_str().expect("the address is a string");
+            address.parse().expect("the address is valid")
         };
         Self {
             caller_address: address("Callers"),
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Its log lines so far that contain a text.
+    /// Log lines so far that contain `text`.
     pub fn log_lines_containing(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lock().expect("not poisoned");
         lines
@@ -116,36 +115,37 @@
             .collect()
     }
 
-    /// Sends it a signal.
     pub fn signal(&self, signal: rustix::process::Signal) {
         let pid = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, signal).expect("a running instance");
+        rustix::process::kill_process(pid, signal).expect("the process can be signalled");
     }
 
-    /// Whether it has ended, and how.
+    /// The exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
-        self.child.try_wait().expect("a child")
+        self.child
+            .try_wait()
+            .expect("the process can be waited for")
     }
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _killed = self.child.kill();
         let _reaped = self.child.wait();
     }
 }
 
-/// Waits until something holds.
+/// Polls a condition and panics if it does not hold within `WAIT_TIMEOUT`.
 pub async fn wait_until<F: Future<Output = bool>>(what: &str, check: impl Fn() -> F) {
-    let step = Duration::from_millis(20);
+    let poll_interval = Duration::from_millis(20);
     let mut waited = Duration::ZERO;
     while waited < WAIT_TIMEOUT {
         if check().await {
             return;
         }
-        sleep(step).await;
-        waited += step;
+        sleep(poll_interval).await;
+        waited += poll_interval;
     }
-    panic!("not seen: {what}");
+    panic!("timed out waiting until {what}");
 }
--- a/crates/carawayhead/tests/forwarding/knowledge.rs
+++ b/crates/carawayhead/tests/forwarding/knowledge.rs
@@ -1,4 +1,4 @@
-//! What instances do with a store that forgets, is slow to come, or falls silent.
+//! Configuration from a store that loses records, is unavailable or does not respond.
 
 use {
     crate::instance::{Instance, wait_until},
@@ -15,11 +15,11 @@
     let mut request = Ask::new("r1", "/order/7");
     request.key = key;
     let response = ask(instance.caller_address, &request).await;
-    response.expect("an answer").status
+    response.expect("the instance responds").status
 }
 
-/// An instance that has never heard from the store knows no route and no key. A 404 or a
-/// 401 would be final for callers who are in the right.
+/// An instance that has not yet read a configuration knows no route and no key. It must
+/// answer 503, since a 404 or 401 would tell callers with valid keys not to retry.
 #[tokio::test]
 async fn instance_without_configuration_answers_503() {
     let store = Store::start().await;
@@ -34,14 +34,14 @@
         StatusCode::SERVICE_UNAVAILABLE
     );
     store.set_mood(Mood::Sound);
-    wait_until("it serves", || async {
+    wait_until("the instance serves requests", || async {
         status(&instance, "key-1").await == StatusCode::OK
     })
     .await;
 }
 
-/// A key is taken away while the store does not answer an instance. It cannot hear of it,
-/// so after a while nothing may run under any key; callers are told to come back.
+/// A key is revoked while the store does not respond. The instance cannot learn of it, so
+/// after the revocation time it must answer 503 for all keys.
 #[tokio::test]
 async fn keys_are_rejected_when_they_cannot_be_confirmed() {
     let store = Store::start().await;
@@ -62,14 +62,14 @@
     );
     assert_eq!(service.ran().len(), call_count);
     store.set_mood(Mood::Sound);
-    wait_until("the key is known to be gone", || async {
+    wait_until("the key is rejected as revoked", || async {
         status(&instance, "key-1").await == StatusCode::UNAUTHORIZED
     })
     .await;
 }
 
-/// The store drops its history and hands out old records for a while. The instance must
-/// stay with what it knows, or a key that was just made would stop working.
+/// The store loses its history and returns old records for a while. The instance must keep
+/// its newer configuration, or a newly created key would stop working.
 #[tokio::test]
 async fn lost_store_history_does_not_revert_configuration() {
     let store = Store::start().await;
@@ -86,15 +86,14 @@
     }
     store.forget(0);
     store.operate("config", &config(3, &["key-3"], 5000));
-    wait_until("the new version is in force", || async {
+    wait_until("the new version is applied", || async {
         status(&instance, "key-3").await == StatusCode::OK
     })
     .await;
 }
 
-/// Two instances share the work of following the store: one reads and passes on what it
-/// reads, and both learn of each change. Who reads is tested in the core; here, that
-/// records come over and are taken in.
+/// One of two instances reads the store and relays its records to the other. Both must apply
+/// every change, and at least one batch must arrive from a peer.
 #[tokio::test]
 async fn instances_share_records_read_from_the_store() {
     let store = Store::start().await;
@@ -104,24 +103,23 @@
     let one = Instance::start("e1", "a", &store).await;
     let two = Instance::start("e2", "b", &store).await;
     let version = std::cell::Cell::new(1);
-    wait_until("records come from a fellow", || async {
+    wait_until("records are received from a peer", || async {
         version.set(version.get() + 1);
         let key = format!("key-{}", version.get());
         store.operate("config", &config(version.get(), &[&key], 5000));
         for instance in [&one, &two] {
-            wait_until("the change is in force", || async {
+            wait_until("the change is applied", || async {
                 status(instance, &key).await == StatusCode::OK
             })
             .await;
         }
-        let heard =
+        let peer_batches =
             |instance: &Instance| instance.log_lines_containing("records of a fellow").len();
-        heard(&one) + heard(&two) > 0
+        peer_batches(&one) + peer_batches(&two) > 0
     })
     .await;
 }
 
-/// An operator asks an instance for its figures.
 #[tokio::test]
 async fn metrics_count_served_requests() {
     let store = Store::start().await;
@@ -131,37 +129,37 @@
     let instance = Instance::start("e1", "a", &store).await;
     assert_eq!(status(&instance, "key-1").await, StatusCode::OK);
     let response = ask(instance.metrics_address, &Ask::new("m", "/metrics")).await;
-    let text = response.expect("figures").body;
+    let text = response.expect("the instance returns its metrics").body;
     for name in [
         "requests_ended",
         "request_seconds",
         "requests_sent",
         "store_calls",
     ] {
-        assert!(text.contains(name), "{name} in {text}");
+        assert!(text.contains(name), "metric {name} is missing in {text}");
     }
 }
 
-/// Operators change the settings while instances run, with a signal or without, and once
-/// by a file that is half written. The change must be taken in and the half file passed
-/// over, or an instance would run with bounds that nobody chose.
+/// Operators change the settings of a running instance. A truncated file must be ignored,
+/// and a valid change must be applied, with or without SIGHUP.
 #[tokio::test]
 async fn changed_settings_are_reloaded() {
     let store = Store::start().await;
     store.operate("config", &config(1, &["key-1"], 5000));
     let instance = Instance::start("e1", "a", &store).await;
-    let text = std::fs::read_to_string(&instance.settings_path).expect("settings");
-    std::fs::write(&instance.settings_path, &text[..text.len() / 2]).expect("a file");
+    let text = std::fs::read_to_string(&instance.settings_path).expect("the settings can be read");
+    std::fs::write(&instance.settings_path, &text[..text.len() / 2])
+        .expect("the settings can be written");
     instance.signal(rustix::process::Signal::HUP);
-    wait_until("the fault is named", || async {
+    wait_until("the error is logged", || async {
         !instance
             .log_lines_containing("cannot be read again")
             .is_empty()
     })
     .await;
     let changed = text.replace("retry_burst = 50", "retry_burst = 20");
-    std::fs::write(&instance.settings_path, changed).expect("a file");
-    wait_until("the change is taken in", || async {
+    std::fs::write(&instance.settings_path, changed).expect("the settings can be written");
+    wait_until("the change is applied", || async {
         let lines = instance.log_lines_containing("settings changed");
         lines.iter().any(|line| line.contains("retry_burst: 20"))
     })
@@ -169,17 +167,20 @@
     assert!(platform::standin::caller::is_ready(instance.readiness_address).await);
 }
 
-/// An instance was cut off for so long that its entry was dropped. It lives, so it must be
-/// found again by the others, or it would choose engines without knowing their load.
+/// The entry of a running instance was dropped from the store, as after a long partition. It
+/// must register again, or its peers would not send it their load reports.
 #[tokio::test]
 async fn dropped_instance_registers_again() {
     let store = Store::start().await;
     store.operate("config", &config(1, &["key-1"], 5000));
     let _instance = Instance::start("e1", "a", &store).await;
-    wait_until("it is published", || async { store.instances() == ["e1"] }).await;
+    wait_until("the instance is registered", || async {
+        store.instances() == ["e1"]
+    })
+    .await;
     store.drop_instance("e1");
     assert!(store.instances().is_empty());
-    wait_until("it is published again", || async {
+    wait_until("the instance is registered again", || async {
         store.instances() == ["e1"]
     })
     .await;
--- a/crates/carawayhead/tests/forwarding/main.rs
+++ b/crates/carawayhead/tests/forwarding/main.rs
@@ -1,4 +1,4 @@
-//! Instances that forward, as separate processes, before a store, engines and a desk.
+//! Forwarding by instance processes between callers, a store, engines and plain services.
 
 mod answers;
 mod instance;
--- a/crates/carawayhead/tests/forwarding/streams.rs
+++ b/crates/carawayhead/tests/forwarding/streams.rs
@@ -1,4 +1,4 @@
-//! Generations that outlive their engine.
+//! Streams that continue after the loss of their engine.
 
 use {
     crate::instance::{Instance, wait_until},
@@ -24,7 +24,7 @@
     deployment_of(engines, EVENTS_PER_STREAM, Duration::from_millis(15)).await
 }
 
-/// One whose streams have three events, `gap` apart.
+/// A deployment whose streams have three events, `gap` apart.
 async fn slow_deployment(engines: usize, gap: Duration) -> Deployment {
     deployment_of(engines, 3, gap).await
 }
@@ -50,7 +50,7 @@
 }
 
 impl Deployment {
-    /// Waits until an engine serves the request with an id, and returns its place.
+    /// Waits until an engine has the run of this request ID, and returns its index.
     async fn wait_for_run_of(&self, id: &str) -> usize {
         let index = || {
             self.engines.iter().position(|engine| {
@@ -62,35 +62,34 @@
         };
         wait_until("an engine has the run", || async { index().is_some() }).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        index().expect("an engine with the run")
+        index().expect("an engine has the run")
     }
 
-    /// Waits until an engine has the run, and returns its place.
+    /// Waits until an engine has a run, and returns its index.
     async fn wait_for_run(&self) -> usize {
         wait_until("an engine has the run", || async {
             self.engines.iter().any(|engine| !engine.ran().is_empty())
         })
         .await;
-        // Some events are to be out before something happens to the engine.
+        // Lets some events reach the caller before the test affects the engine.
         tokio::time::sleep(Duration::from_millis(300)).await;
         let index = self
             .engines
             .iter()
             .position(|engine| !engine.ran().is_empty());
-        index.expect("an engine with the run")
+        index.expect("an engine has the run")
     }
 }
 
-/// Every event once and in order, and nothing else.
+/// Asserts that `body` has every event exactly once and in order.
 fn assert_all_events(body: &str) {
     let events =
         (1..=EVENTS_PER_STREAM).map(|number| format!("id: {number}\ndata: token {number}\n\n"));
     assert_eq!(body, events.collect::<String>());
 }
 
-/// An engine says that it leaves, or its entry just vanishes; it works on for a moment and
-/// is gone. The caller's report must go on at the engine that holds a copy, with no event
-/// missing, doubled or late, and no two engines at work on it for long.
+/// An engine announces that it leaves, or its entry is removed, and it stops shortly after.
+/// The stream must continue at the backup engine without a missing or duplicate event.
 #[tokio::test]
 async fn stream_continues_when_its_engine_leaves() {
     for vanishes in [false, true] {
@@ -112,7 +111,10 @@
         .await;
         tokio::time::sleep(Duration::from_millis(200)).await;
         deployment.engines[index].crash();
-        let response = stream.await.expect("a task").expect("an answer");
+        let response = stream
+            .await
+            .expect("the task does not panic")
+            .expect("the instance responds");
         assert_eq!(
             (response.status, response.complete),
             (StatusCode::OK, true),
@@ -123,8 +125,8 @@
     }
 }
 
-/// An engine dies without a word in the middle of a report. The copy that was made while
-/// the run went on is all that is left of it.
+/// An engine dies in the middle of a stream. The stream must continue from the KV cache copy
+/// at the backup engine.
 #[tokio::test]
 async fn stream_continues_when_its_engine_dies() {
     let deployment = deployment(3).await;
@@ -133,16 +135,18 @@
         tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
     let index = deployment.wait_for_run().await;
     deployment.engines[index].crash();
-    let response = stream.await.expect("a task").expect("an answer");
+    let response = stream
+        .await
+        .expect("the task does not panic")
+        .expect("the instance responds");
     assert_eq!((response.status, response.complete), (StatusCode::OK, true));
     assert_all_events(&response.body);
     let takeovers = deployment.instance.log_lines_containing("\"takeover\"");
     assert!(!takeovers.is_empty());
 }
 
-/// The way to an engine is cut without a reset: its events just stop. The engine with the
-/// copy is asked long before the silence itself would be taken for a loss, so that the
-/// caller sees no late event.
+/// An engine stops sending events without closing its connection. The backup engine must be
+/// asked before the silence timeout, so that the caller sees no late event.
 #[tokio::test]
 async fn stream_of_silent_engine_continues_at_the_backup() {
     let deployment = deployment(3).await;
@@ -151,7 +155,10 @@
         tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
     let index = deployment.wait_for_run().await;
     deployment.engines[index].freeze();
-    let response = stream.await.expect("a task").expect("an answer");
+    let response = stream
+        .await
+        .expect("the task does not panic")
+        .expect("the instance responds");
     assert_eq!((response.status, response.complete), (StatusCode::OK, true));
     assert_all_events(&response.body);
     let takeovers = deployment.instance.log_lines_containing("\"takeover\"");
@@ -161,10 +168,9 @@
     );
 }
 
-/// An engine leaves, the one with the copy of its run is asked to go on, and a partition
-/// swallows the answer: it has begun. No third engine has room. Left alone, both go on to the
-/// end, and a stream that cannot be repeated has run twice. The one that can be reached has to
-/// stop; it holds the run's memory, and the caller's stream goes on there, whole.
+/// An engine leaves, its backup takes the run over, and a partition drops the backup's
+/// response. The run must not execute at both engines, so the reachable one stops it and, as
+/// it has the run's KV cache, then continues it itself.
 #[tokio::test]
 async fn run_stops_when_another_engine_may_execute_it() {
     let deployment = deployment(2).await;
@@ -178,20 +184,25 @@
     let id = format!("m{}", index + 1);
     let entry = engine.leaving_entry("model", "a");
     deployment.store.list(&id, &entry);
-    wait_until("the engine has gone on with what it stopped", || async {
-        let calls = engine.ran();
-        calls.iter().any(|call| call.header("kv-from").is_some())
-    })
+    wait_until(
+        "the engine has continued the run that it stopped",
+        || async {
+            let calls = engine.ran();
+            calls.iter().any(|call| call.header("kv-from").is_some())
+        },
+    )
     .await;
     assert_eq!(other.ran().len(), 1);
-    let response = stream.await.expect("a task").expect("an answer");
+    let response = stream
+        .await
+        .expect("the task does not panic")
+        .expect("the instance responds");
     assert_eq!((response.status, response.complete), (StatusCode::OK, true));
     assert_all_events(&response.body);
 }
 
-/// A partition parts a stream from its engine for some seconds, and the engine with its
-/// copy is dead. The stream's connection has not broken, so what its engine made comes late
-/// once it is heard of again, and the caller has its whole answer.
+/// A partition separates an instance from an engine for some seconds while the backup engine
+/// is dead. The connection is still open, so the stream must wait and complete.
 #[tokio::test]
 async fn stream_waits_for_its_engine_when_the_backup_is_dead() {
     let deployment = deployment(3).await;
@@ -200,8 +211,8 @@
         tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
     let index = deployment.wait_for_run().await;
     let sent = deployment.instance.log_lines_containing("\"sent\"");
-    let holder = (0..3).find(|engine| sent[0].contains(&format!("\"copy\":\"m{}\"", engine + 1)));
-    deployment.engines[holder.expect("a copy")].crash();
+    let backup = (0..3).find(|engine| sent[0].contains(&format!("\"copy\":\"m{}\"", engine + 1)));
+    deployment.engines[backup.expect("the run has a backup")].crash();
     deployment.engines[index].freeze();
     wait_until("the stream waits", || async {
         !deployment
@@ -211,12 +222,15 @@
     })
     .await;
     deployment.engines[index].thaw();
-    let response = stream.await.expect("a task").expect("an answer");
+    let response = stream
+        .await
+        .expect("the task does not panic")
+        .expect("the instance responds");
     assert_eq!((response.status, response.complete), (StatusCode::OK, true));
     assert_all_events(&response.body);
 }
 
-/// The only engine dies, and there is no copy. What the caller has must not look whole.
+/// The only engine dies and there is no backup. The response must not look complete.
 #[tokio::test]
 async fn stream_without_backup_ends_incomplete() {
     let deployment = deployment(1).await;
@@ -225,7 +239,10 @@
         tokio::spawn(async move { ask(caller_address, &Ask::new("r1", "/draft/7")).await });
     deployment.wait_for_run().await;
     deployment.engines[0].crash();
-    let response = stream.await.expect("a task").expect("an answer");
+    let response = stream
+        .await
+        .expect("the task does not panic")
+        .expect("the instance responds");
     assert!(!response.complete);
     assert!(response.body.len() < 20 * EVENTS_PER_STREAM as usize);
     wait_until("the log names the request and the cause", || async {
@@ -237,16 +254,15 @@
     .await;
 }
 
-/// The events of a stream behind one of them.
+/// The events of a stream after the event with ID `last`.
 fn events_after(last: u32) -> String {
     let events = (last + 1..=EVENTS_PER_STREAM)
         .map(|number| format!("id: {number}\ndata: token {number}\n\n"));
     events.collect()
 }
 
-/// A caller whose connection broke comes back to another instance with the last event that
-/// it has. Where streams can be resumed it gets what follows; elsewhere its word counts for
-/// nothing, and it gets the whole stream.
+/// A caller reconnects with `last-event-id`. On a resumable route it receives the remaining
+/// events; on other routes the header is ignored and it receives the complete stream.
 #[tokio::test]
 async fn last_event_id_is_honoured_only_on_resumable_routes() {
     let deployment = deployment(2).await;
@@ -254,7 +270,7 @@
         let mut request = Ask::new(path, path);
         request.extra.push(("last-event-id", "40"));
         let response = ask(deployment.instance.caller_address, &request).await;
-        let response = response.expect("an answer");
+        let response = response.expect("the instance responds");
         assert_eq!(
             (response.status, response.complete),
             (StatusCode::OK, true),
@@ -264,9 +280,8 @@
     }
 }
 
-/// The engine of a resumable stream dies, and no copy of its memory was kept, since few
-/// tokens are expected or memory is short. Another engine can begin behind the last event
-/// that the caller has, also one that the caller itself had named before.
+/// The engine of a resumable stream dies and there is no copy of its KV cache. Another engine
+/// must resume after the last delivered event, also if the caller itself resumed before.
 #[tokio::test]
 async fn resumable_stream_continues_without_backup() {
     let deployment = deployment(3).await;
@@ -284,15 +299,17 @@
         let id = format!("r{number}");
         let index = deployment.wait_for_run_of(&id).await;
         deployment.engines[index].crash();
-        let response = stream.await.expect("a task").expect("an answer");
+        let response = stream
+            .await
+            .expect("the task does not panic")
+            .expect("the instance responds");
         assert_eq!((response.status, response.complete), (StatusCode::OK, true));
         assert_eq!(response.body, events_after(first));
     }
 }
 
-/// The engine dies after it took a resumable stream's request and before the first event.
-/// Nothing has reached the caller, so another engine serves it from the start; the caller
-/// notices a longer wait.
+/// An engine dies after it accepted a resumable stream and before its first event. Another
+/// engine must serve the stream from the start.
 #[tokio::test]
 async fn resumable_stream_restarts_before_its_first_event() {
     let deployment = slow_deployment(2, Duration::from_millis(400)).await;
@@ -309,8 +326,11 @@
         .engines
         .iter()
         .position(|engine| !engine.ran().is_empty());
-    deployment.engines[index.expect("an engine")].crash();
-    let response = stream.await.expect("a task").expect("an answer");
+    deployment.engines[index.expect("an engine has the run")].crash();
+    let response = stream
+        .await
+        .expect("the task does not panic")
+        .expect("the instance responds");
     assert_eq!((response.status, response.complete), (StatusCode::OK, true));
     let events = (1..=3).map(|number| format!("id: {number}\ndata: token {number}\n\n"));
     assert_eq!(response.body, events.collect::<String>());
--- a/crates/carawayhead/tests/soak/callers.rs
+++ b/crates/carawayhead/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send one request after the other, and what they got.
+//! Callers that send requests in sequence and record the responses.
 
 use {
     crate::deployment::EVENTS_PER_STREAM,
@@ -12,25 +12,24 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// Paths of the three routes.
 const ROUTE_PATHS: [&str; 3] = ["/draft/x", "/look/x", "/order/x"];
 
-/// A request and its end.
+/// A request and its response.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub started: Instant,
     pub ended: Instant,
-    /// What came back; `None` if the connection ended before an answer.
+    /// `None` if the connection ended before a response.
     pub response: Option<Got>,
     pub id: String,
     pub key: &'static str,
     pub path: &'static str,
 }
 
-/// Where instances listen now.
+/// Current caller addresses of the instances.
 pub type Addresses = watch::Receiver<Vec<SocketAddr>>;
 
-/// Sends requests until told to stop, on connections that are used until they end.
+/// Sends requests until `stop` is set, and uses each connection until it ends.
 pub async fn run_caller(
     number: usize,
     seed: u64,
@@ -87,8 +86,8 @@
     }
 }
 
-/// Checks that the events of a stream are there once, in order, and all of them if it
-/// ended as complete.
+/// Checks that the events of a stream arrived once and in order, and all of them if the
+/// response is complete.
 pub fn check_events(record: &Record, response: &Got) -> Result<(), String> {
     let ids = response
         .body
@@ -105,7 +104,7 @@
         numbers.len()
     };
     let expected = (1..=u32::try_from(expected_len).unwrap_or(u32::MAX)).collect::<Vec<_>>();
-    // The last event of a stream that broke off may be cut.
+    // The last event of an incomplete stream may be truncated.
     let truncated = !response.complete
         && numbers.len() > 1
         && numbers[..numbers.len() - 1] == expected[..expected.len() - 1];
--- a/crates/carawayhead/tests/soak/deployment.rs
+++ b/crates/carawayhead/tests/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! Instances, engines, desks and a store, with a proxy on each way.
+//! Instances, engines, plain services and a store, connected through fault proxies.
 
 use {
     crate::{
@@ -17,10 +17,10 @@
 /// Events of a stream; at 15 ms each it lasts 0.9 s.
 pub const EVENTS_PER_STREAM: u32 = 60;
 
-/// Failure domains; there is an instance in each.
+/// Failure domains, with one instance in each.
 pub const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// A back end behind its proxy.
+/// An endpoint behind its fault proxy.
 pub struct ProxiedServer<T> {
     pub server: T,
     pub proxy: FaultProxy,
@@ -28,7 +28,7 @@
     pub domain: &'static str,
 }
 
-/// One place for an instance, which is started again there.
+/// An instance and what is needed to restart it.
 pub struct InstanceSlot {
     pub instance: Option<Instance>,
     pub proxy: FaultProxy,
@@ -37,20 +37,20 @@
 }
 
 impl InstanceSlot {
-    /// Starts an instance there.
+    /// Starts the instance of this slot.
     pub async fn start(&mut self) {
         let started = Instance::start_with_store(&self.name, self.domain, self.proxy.address).await;
         self.instance = Some(started);
     }
 
-    /// Sends its instance a signal, if there is one.
+    /// Sends a signal to the instance, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(instance) = &self.instance {
             instance.signal(signal);
         }
     }
 
-    /// Whether its instance says that callers may be sent to it.
+    /// Whether the instance reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         match &self.instance {
             Some(instance) => caller::is_ready(instance.readiness_address).await,
@@ -59,11 +59,11 @@
     }
 }
 
-/// Everything that a soak runs against.
+/// All processes and stand-ins of a soak run.
 pub struct Deployment {
     pub services: Vec<ProxiedServer<Desk>>,
     pub engines: Vec<ProxiedServer<Engine>>,
-    /// Engines and desks that are gone, with what they ran.
+    /// Engines that were replaced, kept for the calls they ran.
     pub removed_engines: Vec<Engine>,
     pub keys: Vec<&'static str>,
     pub slots: Vec<InstanceSlot>,
@@ -74,7 +74,7 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until callers may come.
+    /// Starts all parts and waits until every instance is ready.
     pub async fn start(seed: u64) -> Self {
         let store = Store::start().await;
         let mut deployment = Self {
@@ -123,7 +123,7 @@
         deployment
     }
 
-    /// Waits until every instance may be sent callers.
+    /// Waits until every instance is ready.
     pub async fn wait_until_ready(&self) {
         for slot in &self.slots {
             wait_until("an instance is ready", || slot.is_ready()).await;
@@ -137,7 +137,7 @@
             .operate("config", &config(self.config_version, &self.keys, 10_000));
     }
 
-    /// Starts an engine and lists it.
+    /// Starts an engine and adds its entry to the store.
     pub async fn add_engine(&mut self, domain: &'static str) {
         self.engines_started += 1;
         let id = format!("m{}", self.engines_started);
@@ -155,14 +155,14 @@
         });
     }
 
-    /// An engine says that it leaves.
+    /// Announces in the store that an engine is leaving.
     pub fn announce_leaving(&self, index: usize) {
         let engine = &self.engines[index];
         let entry = engine.server.leaving_entry("model", engine.domain);
         self.store.list(&engine.id, &entry);
     }
 
-    /// An engine dies; another one takes its place under a new id.
+    /// Crashes an engine and starts another one with a new ID.
     pub async fn replace(&mut self, index: usize) {
         let engine = self.engines.remove(index);
         engine.server.crash();
--- a/crates/carawayhead/tests/soak/loopback.rs
+++ b/crates/carawayhead/tests/soak/loopback.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms what passes through it.
+//! A TCP proxy on loopback that injects faults.
 
 use {
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -14,41 +14,40 @@
     },
 };
 
-/// What happens to bytes on the way.
+/// How the proxy treats the bytes of its connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkState {
-    /// They pass.
+    /// Bytes are forwarded.
     Open,
-    /// Each part passes after a delay.
+    /// Each chunk is forwarded after a delay.
     Delayed(Duration),
-    /// Nothing passes towards the target.
+    /// Nothing is forwarded to the target.
     BlockedToTarget,
-    /// Nothing passes back.
+    /// Nothing is forwarded from the target.
     BlockedFromTarget,
-    /// Nothing passes either way; new connections open and stay silent.
+    /// Nothing is forwarded either way; new connections are accepted.
     Blocked,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct ProxyState {
     link: LinkState,
-    /// Connections of an earlier number are reset.
+    /// Connections opened at a lower count are reset.
     reset_count: u32,
-    /// Connections of an earlier number are silent for good.
+    /// Connections opened at a lower count forward nothing any more.
     stall_count: u32,
 }
 
-/// A proxy before one target.
+/// A proxy for one target.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where it listens.
     pub address: SocketAddr,
     state: Arc<watch::Sender<ProxyState>>,
     task: JoinHandle<()>,
 }
 
 impl FaultProxy {
-    /// Starts one at an ephemeral port.
+    /// Starts a proxy on an ephemeral port.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
@@ -73,17 +72,17 @@
         }
     }
 
-    /// Changes what happens to bytes from now on; those that were held pass once they may.
+    /// Sets the state of all connections; bytes held back are forwarded when unblocked.
     pub fn set(&self, link: LinkState) {
         self.state.send_modify(|state| state.link = link);
     }
 
-    /// Resets all open connections.
+    /// Resets all open connections with a TCP RST.
     pub fn reset_connections(&self) {
         self.state.send_modify(|state| state.reset_count += 1);
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Stops forwarding on all open connections permanently; new ones work.
     pub fn stall_connections(&self) {
         self.state.send_modify(|state| state.stall_count += 1);
     }
@@ -119,7 +118,7 @@
     tokio::join!(to_target, from_target);
 }
 
-/// Passes parts on in one direction, which `blocking_state` holds up.
+/// Forwards bytes in one direction, which `blocking_state` or `Blocked` stops.
 async fn copy(
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
@@ -161,9 +160,9 @@
     }
 }
 
-/// Has both connections end with a reset, as those of a machine that lost its power.
+/// Makes both connections close with a TCP RST, as after a crash of a host.
 fn set_reset_on_close(read: &OwnedReadHalf, write: &OwnedWriteHalf) {
-    // A connection that is gone already cannot be reset.
-    let _gone = read.as_ref().set_zero_linger();
-    let _gone = write.as_ref().set_zero_linger();
+    // Fails if a connection is already closed.
+    let _closed = read.as_ref().set_zero_linger();
+    let _closed = write.as_ref().set_zero_linger();
 }
--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -1,9 +1,9 @@
-//! A randomized soak of the real program: instances as processes of their own before
-//! stand-ins, with a proxy on each way, while signals, operators and back ends do what they
-//! like. The promises are checked from what callers and back ends see.
+//! A randomized soak test of instance processes in front of stand-ins, with fault proxies in
+//! between, under signals, operator changes and endpoint failures. The guarantees are checked
+//! against what callers and endpoints observe.
 //!
-//! `SOAK_SEEDS` sets how many seeds are run, `SOAK_SEED` the first, `SOAK_SECONDS` for how
-//! long: `SOAK_SEEDS=50 SOAK_SEED=100 cargo test --release --test soak -- --nocapture`.
+//! `SOAK_SEEDS` sets the number of seeds, `SOAK_SEED` the first one and `SOAK_SECONDS` the
+//! duration of each: `SOAK_SEEDS=50 SOAK_SEED=100 cargo test --release --test soak -- --nocapture`.
 
 mod callers;
 mod deployment;
@@ -30,16 +30,13 @@
     tokio::sync::watch,
 };
 
-/// Callers at work.
 const CALLER_COUNT: usize = 20;
 
-/// Time after which a key that was taken away must not be used any more, with a second for
-/// the way of a request on a machine that is busy with other things.
+/// Time after which a revoked key must not be accepted: the configured 5 s plus 1 s for the
+/// delivery of a request on a busy machine.
 const REVOCATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Seeds that failed once; they are run again each time.
-///
-/// None so far.
+/// Seeds that failed before; they are part of every run.
 const REGRESSIONS: [u64; 0] = [];
 
 fn env_or_default(name: &str, default: u64) -> u64 {
@@ -49,10 +46,9 @@
     value.unwrap_or(default)
 }
 
-/// Any of this may happen to an operator on any day, in series and at once. A caller would
-/// notice an answer that is another's or not whole, a booking made twice, a booking made
-/// though it was told that it was not, a key that still works long after it was taken away;
-/// an operator instances that do not serve again once all is well.
+/// Under combined faults no caller may receive another caller's or an incomplete response as a
+/// success, no order may run twice or run after it was rejected as not run, no revoked key may
+/// work after its timeout, and every instance must serve again after the faults end.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn guarantees_hold_under_faults() {
     let (first, count) = (
@@ -73,7 +69,7 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Runs one seed; returns what was broken.
+/// Runs one seed and returns the violated guarantees.
 async fn run_seed(seed: u64, length: Duration) -> Vec<String> {
     let mode = if seed.is_multiple_of(4) {
         Mode::Planned
@@ -99,7 +95,7 @@
     injector.run(&mut deployment, length).await;
     stop.send_replace(true);
     for caller in callers {
-        caller.await.expect("a caller that ends");
+        caller.await.expect("the caller task does not panic");
     }
     let records = records.lock().expect("not poisoned").clone();
     let mut violations = check_guarantees(&deployment, &injector, &records);
@@ -128,7 +124,7 @@
     response.is_some_and(|response| response.complete && response.status == StatusCode::OK)
 }
 
-/// When each request was run at a back end, by id; goings-on of a run do not count.
+/// Times at which each request was run at an endpoint, by request ID, without continuations.
 fn runs(deployment: &Deployment) -> BTreeMap<String, Vec<Instant>> {
     let mut runs = BTreeMap::<String, Vec<Instant>>::new();
     let services = deployment
@@ -145,7 +141,7 @@
     runs
 }
 
-/// What callers and back ends saw that must never be.
+/// Checks what callers and endpoints observed against the guarantees.
 fn check_guarantees(
     deployment: &Deployment,
     injector: &FaultInjector,
@@ -177,7 +173,7 @@
             continue;
         }
         if !response.sealed {
-            violations.push(format!("{} got a success that no back end gave", record.id));
+            violations.push(format!("{} got a success that no endpoint gave", record.id));
         }
         if record.path.starts_with("/draft") {
             violations.extend(check_events(record, response).err());
@@ -193,24 +189,24 @@
     violations
 }
 
-/// No request runs under a key long after it was taken away. Keys are given back to their
-/// holders, so only runs before the next change count.
+/// Checks that no request runs under a key after its revocation timeout. Revoked keys are
+/// restored later, so only runs before the restoration count.
 fn check_keys(
     injector: &FaultInjector,
     records: &[Record],
     runs: &BTreeMap<String, Vec<Instant>>,
 ) -> Vec<String> {
     let mut violations = Vec::new();
-    for (key, taken, back) in &injector.revoked {
+    for (key, revoked_at, restored_at) in &injector.revoked {
         let under = records.iter().filter(|record| record.key == *key);
-        for record in under.filter(|record| record.started > *taken + REVOCATION_TIMEOUT) {
+        for record in under.filter(|record| record.started > *revoked_at + REVOCATION_TIMEOUT) {
             let run_times = runs.get(&record.id).map_or(&[][..], Vec::as_slice);
             if run_times
                 .iter()
-                .any(|at| back.is_none_or(|back| *at < back))
+                .any(|at| restored_at.is_none_or(|restored_at| *at < restored_at))
             {
                 violations.push(format!(
-                    "{} ran under {key} after it was taken away",
+                    "{} ran under {key} after it was revoked",
                     record.id
                 ));
             }
@@ -219,7 +215,7 @@
     violations
 }
 
-/// Planned work cuts no request that an instance has begun to read.
+/// Checks that planned changes interrupt no request that an instance has started to read.
 fn check_planned(records: &[Record]) -> Vec<String> {
     let cut = records.iter().filter(|record| match &record.response {
         Some(response) => !response.complete || matches!(response.status.as_u16(), 502 | 504),
@@ -232,12 +228,12 @@
     .collect()
 }
 
-/// Once all is well every instance serves again.
+/// Checks that every instance serves requests after all faults have been undone.
 async fn check_recovery(deployment: &Deployment) -> Vec<String> {
     let mut violations = Vec::new();
     for (number, slot) in deployment.slots.iter().enumerate() {
         let Some(instance) = &slot.instance else {
-            violations.push(format!("instance {number} is gone"));
+            violations.push(format!("instance {number} is not running"));
             continue;
         };
         for path in ["/look/x", "/draft/x"] {
@@ -260,7 +256,7 @@
     violations
 }
 
-/// Keeps the logs of a seed that failed.
+/// Saves the instance logs of a failed seed to the temporary directory.
 fn save_logs(seed: u64, deployment: &Deployment) {
     for (number, slot) in deployment.slots.iter().enumerate() {
         let Some(instance) = &slot.instance else {
@@ -270,7 +266,7 @@
         let text = instance.log_lines_containing("").join("\n");
         match std::fs::write(&file, text) {
             Ok(()) => println!("seed {seed}: log in {}", file.display()),
-            Err(error) => println!("seed {seed}: log not kept: {error}"),
+            Err(error) => println!("seed {seed}: log not saved: {error}"),
         }
     }
 }
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, drawn from a seed.
+//! Injects faults and planned changes that are drawn from a seed.
 
 use {
     crate::{
@@ -16,19 +16,19 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// Longer than anything is left harmed.
+/// Longer than any undo is scheduled ahead, so that all of them are due.
 const UNDO_ALL_HORIZON: Duration = Duration::from_hours(1);
 
-/// What a soak may do.
+/// Which changes a soak run makes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
-    /// Everything.
+    /// Faults and planned changes.
     Faults,
-    /// Planned work only: stops, reloads, configurations, engines that announce themselves.
+    /// Planned changes only: stops, reloads, configurations, announced engine departures.
     Planned,
 }
 
-/// What is undone at a time.
+/// The undo of a change; indexes refer to the lists of the deployment.
 #[derive(Clone, Copy, Debug)]
 enum Undo {
     Service(usize),
@@ -43,12 +43,12 @@
     StoreLink(usize),
 }
 
-/// Runs a script against a deployment.
+/// Injects faults and planned changes into a deployment.
 pub struct FaultInjector {
     pub addresses: watch::Sender<Vec<SocketAddr>>,
-    /// Faults so far, for the report.
+    /// Number of changes so far, for the report.
     pub faults: u32,
-    /// Keys, when they were taken away, and when they were given back.
+    /// Revoked keys with the times of their revocation and restoration.
     pub revoked: Vec<(&'static str, Instant, Option<Instant>)>,
     random: SmallRng,
     mode: Mode,
@@ -69,7 +69,7 @@
         (injector, listening)
     }
 
-    /// Tells callers where instances listen.
+    /// Publishes the caller addresses of the running instances.
     pub fn publish_addresses(&self, deployment: &Deployment) {
         let instances = deployment
             .slots
@@ -79,7 +79,7 @@
         self.addresses.send_replace(listening);
     }
 
-    /// Does one thing after the other for so long, then undoes all of it.
+    /// Makes changes for the given duration, then undoes all of them.
     pub async fn run(&mut self, deployment: &mut Deployment, length: Duration) {
         let end = Instant::now() + length;
         while Instant::now() < end {
@@ -91,7 +91,7 @@
                 Mode::Faults | Mode::Planned => self.apply_planned_change(deployment),
             }
         }
-        // An instance that is told to stop takes up to its grace to end.
+        // A stopping instance takes up to its grace time to exit before it can be restarted.
         while !self.pending_undos.is_empty() {
             self.undo_due(deployment, Instant::now() + UNDO_ALL_HORIZON)
                 .await;
@@ -108,7 +108,6 @@
         self.pending_undos.iter().any(|(_, undo)| wanted(undo))
     }
 
-    /// Planned work.
     fn apply_planned_change(&mut self, deployment: &mut Deployment) {
         match self.random.random_range(0..6) {
             0 => self.stop_instance(deployment, Signal::TERM),
@@ -126,14 +125,13 @@
             5 if !self.has_pending_undo(|undo| matches!(undo, Undo::Leave(_))) => {
                 let index = self.random.random_range(0..deployment.engines.len());
                 deployment.announce_leaving(index);
-                // A stream of 0.9 s that has just begun must be able to end there.
+                // Longer than a stream of 0.9 s, so that one that just started can complete.
                 self.schedule_undo(1800, 2600, Undo::Leave(index));
             }
             _ => {}
         }
     }
 
-    /// Unplanned harm.
     async fn inject_fault(&mut self, deployment: &mut Deployment) {
         let fault = self.random_link_fault();
         match self.random.random_range(0..9) {
@@ -202,7 +200,7 @@
         candidates[self.random.random_range(0..candidates.len())]
     }
 
-    /// Harms a way, or its open connections only.
+    /// Sets the state of a proxy, or without one resets or stalls its open connections.
     fn apply_link_fault(&mut self, proxy: &FaultProxy, fault: Option<LinkState>) {
         match fault {
             Some(fault) => proxy.set(fault),
@@ -211,14 +209,14 @@
         }
     }
 
-    /// Whether an instance is stopped or paused already.
+    /// Whether an instance is being restarted or is paused.
     fn is_stopped(&self, slot: usize) -> bool {
         self.has_pending_undo(
             |undo| matches!(undo, Undo::Resume(index) | Undo::Restart(index) if *index == slot),
         )
     }
 
-    /// Stops an instance; one of the others must stay.
+    /// Stops an instance unless it would leave none running.
     fn stop_instance(&mut self, deployment: &Deployment, signal: Signal) {
         let index = self.random.random_range(0..deployment.slots.len());
         let stopping = (0..deployment.slots.len())
@@ -238,8 +236,8 @@
             deployment.publish();
             self.revoked.push((key, now, None));
         } else {
-            if let Some((_, _, back)) = self.revoked.last_mut() {
-                *back = Some(now);
+            if let Some((_, _, restored_at)) = self.revoked.last_mut() {
+                *restored_at = Some(now);
             }
             deployment.keys = vec!["key-1", "key-2"];
             deployment.publish();
@@ -270,13 +268,13 @@
         }
     }
 
-    /// Starts an instance again once the one before has ended.
+    /// Restarts an instance once its previous process has exited.
     async fn restart(&mut self, deployment: &mut Deployment, index: usize) {
-        let ended = deployment.slots[index]
+        let exited = deployment.slots[index]
             .instance
             .as_mut()
             .is_none_or(|instance| instance.exit_status().is_some());
-        if !ended {
+        if !exited {
             self.pending_undos.push((
                 Instant::now() + Duration::from_millis(100),
                 Undo::Restart(index),
