--- a/crates/carawayhead/tests/forwarding/knowledge.rs
+++ b/crates/carawayhead/tests/forwarding/knowledge.rs
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn metrics_count_served_requests() {
+async fn metrics_include_requests_and_store_calls() {
     let store = Store::start().await;
     let service = Desk::start("d1").await;
     store.operate("config", &config(1, &["key-1"], 5000));
--- a/crates/carawayhead/tests/forwarding/streams.rs
+++ b/crates/carawayhead/tests/forwarding/streams.rs
@@ -21,15 +21,15 @@
 }
 
 async fn deployment(engines: usize) -> Deployment {
-    deployment_of(engines, EVENTS_PER_STREAM, Duration::from_millis(15)).await
+    deployment_with(engines, EVENTS_PER_STREAM, Duration::from_millis(15)).await
 }
 
 /// A deployment whose streams have three events, `gap` apart.
 async fn slow_deployment(engines: usize, gap: Duration) -> Deployment {
-    deployment_of(engines, 3, gap).await
+    deployment_with(engines, 3, gap).await
 }
 
-async fn deployment_of(engines: usize, events: u32, gap: Duration) -> Deployment {
+async fn deployment_with(engines: usize, events: u32, gap: Duration) -> Deployment {
     let store = Store::start().await;
     store.operate("config", &config(1, &["key-1"], 30_000));
     let shared_runs = Arc::default();
--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -48,7 +48,7 @@
 
 /// Under combined faults no caller may receive another caller's or an incomplete response as a
 /// success, no order may run twice or run after it was rejected as not run, no revoked key may
-/// work after its timeout, and every instance must serve again after the faults end.
+/// work after its timeout, and every instance must serve again once the faults end.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn guarantees_hold_under_faults() {
     let (first, count) = (
@@ -100,7 +100,7 @@
     let records = records.lock().expect("not poisoned").clone();
     let mut violations = check_guarantees(&deployment, &injector, &records);
     if mode == Mode::Planned {
-        violations.extend(check_planned(&records));
+        violations.extend(check_uninterrupted(&records));
     }
     deployment.keys = vec!["key-1", "key-2"];
     deployment.publish();
@@ -198,8 +198,8 @@
 ) -> Vec<String> {
     let mut violations = Vec::new();
     for (key, revoked_at, restored_at) in &injector.revoked {
-        let under = records.iter().filter(|record| record.key == *key);
-        for record in under.filter(|record| record.started > *revoked_at + REVOCATION_TIMEOUT) {
+        let with_key = records.iter().filter(|record| record.key == *key);
+        for record in with_key.filter(|record| record.started > *revoked_at + REVOCATION_TIMEOUT) {
             let run_times = runs.get(&record.id).map_or(&[][..], Vec::as_slice);
             if run_times
                 .iter()
@@ -216,16 +216,20 @@
 }
 
 /// Checks that planned changes interrupt no request that an instance has started to read.
-fn check_planned(records: &[Record]) -> Vec<String> {
-    let cut = records.iter().filter(|record| match &record.response {
+fn check_uninterrupted(records: &[Record]) -> Vec<String> {
+    let interrupted = records.iter().filter(|record| match &record.response {
         Some(response) => !response.complete || matches!(response.status.as_u16(), 502 | 504),
         None => false,
     });
-    cut.map(|record| {
-        let took = record.ended.duration_since(record.started);
-        format!("{} {} was cut after {took:?}", record.id, record.path)
-    })
-    .collect()
+    interrupted
+        .map(|record| {
+            let took = record.ended.duration_since(record.started);
+            format!(
+                "{} {} was interrupted after {took:?}",
+                record.id, record.path
+            )
+        })
+        .collect()
 }
 
 /// Checks that every instance serves requests after all faults have been undone.
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -104,8 +104,8 @@
         self.pending_undos.push((Instant::now() + wait, undo));
     }
 
-    fn has_pending_undo(&self, wanted: impl Fn(&Undo) -> bool) -> bool {
-        self.pending_undos.iter().any(|(_, undo)| wanted(undo))
+    fn has_pending_undo(&self, predicate: impl Fn(&Undo) -> bool) -> bool {
+        self.pending_undos.iter().any(|(_, undo)| predicate(undo))
     }
 
     fn apply_planned_change(&mut self, deployment: &mut Deployment) {
