--- a/crates/carawayhead/tests/common/mod.rs
+++ b/crates/carawayhead/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Real processes for the end-to-end tests: stand-ins and daemons on loopback.
+//! Starts stand-ins and daemons as processes on loopback for the end-to-end tests.
 
-#![allow(dead_code, reason = "each test file uses its own part of the builder")]
+#![allow(dead_code, reason = "no test file uses all of these helpers")]
 
 use {
     bytes::Bytes,
@@ -15,16 +15,16 @@
     },
 };
 
-pub const KEY: &str = "workshop-key";
-const SECRET: &str = "4242424242424242424242424242424242424242424242424242424242424242";
+pub const API_KEY: &str = "workshop-key";
+const HANDLE_SECRET: &str = "4242424242424242424242424242424242424242424242424242424242424242";
 
-/// Longest time that a condition is waited for; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Bound on waiting for a condition, so that a failed test ends.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A process that is killed when its test ends.
+/// A child process, killed on drop.
 pub struct Process {
     pub address: String,
-    pub fellow: String,
+    pub peer_address: String,
     pub name: String,
     pub operator: String,
     child: Child,
@@ -46,24 +46,28 @@
         BufReader::new(output)
             .read_line(&mut line)
             .expect("the process prints its address");
-        let word = |prefix: &str| {
-            let word = line
+        let address_after = |prefix: &str| {
+            let address = line
                 .split_whitespace()
                 .find_map(|word| word.strip_prefix(prefix));
-            word.unwrap_or_default().to_string()
+            address.unwrap_or_default().to_string()
         };
-        let plain = line
+        let plain_address = line
             .trim()
             .strip_prefix("listening ")
             .unwrap_or_default()
             .to_string();
-        let caller = word("caller=");
+        let caller_address = address_after("caller=");
         Self {
-            address: if caller.is_empty() { plain } else { caller },
+            address: if caller_address.is_empty() {
+                plain_address
+            } else {
+                caller_address
+            },
             child,
-            fellow: word("fellow="),
+            peer_address: address_after("fellow="),
             name: name.to_string(),
-            operator: word("operator="),
+            operator: address_after("operator="),
         }
     }
 
@@ -77,7 +81,8 @@
         self.child.wait().expect("the process can be waited for");
     }
 
-    pub fn exited(&mut self) -> Option<bool> {
+    /// Whether the process exited successfully; `None` while it runs.
+    pub fn exit_success(&mut self) -> Option<bool> {
         let status = self
             .child
             .try_wait()
@@ -95,7 +100,7 @@
     }
 }
 
-/// Stand-ins and daemons of one test.
+/// The stand-ins and daemons of one test.
 pub struct Cluster {
     pub client: Client,
     pub engines: Vec<Process>,
@@ -114,34 +119,34 @@
     arguments
 }
 
-/// What a test wants to run.
+/// The processes a test starts, by failure domain.
 pub struct Builder {
-    pub engine: Vec<&'static str>,
-    pub engines: Vec<&'static str>,
-    pub instances: Vec<&'static str>,
+    pub engine_flags: Vec<&'static str>,
+    pub engine_domains: Vec<&'static str>,
+    pub instance_domains: Vec<&'static str>,
     pub limits: &'static str,
     pub tls: bool,
-    pub services: Vec<&'static str>,
+    pub service_domains: Vec<&'static str>,
 }
 
 impl Default for Builder {
     fn default() -> Self {
         Self {
-            engine: Vec::new(),
-            engines: vec!["north", "south"],
-            instances: vec!["north", "south"],
+            engine_flags: Vec::new(),
+            engine_domains: vec!["north", "south"],
+            instance_domains: vec!["north", "south"],
             limits: "",
             tls: false,
-            services: vec!["north"],
+            service_domains: vec!["north"],
         }
     }
 }
 
 impl Builder {
-    /// Starts everything and waits until each daemon is ready.
+    /// Starts all processes and waits until each daemon is ready.
     pub async fn start(self) -> Cluster {
         let folder = std::env::temp_dir().join(format!("carawayhead-{}", uuid::Uuid::new_v4()));
-        std::fs::create_dir_all(&folder).expect("a folder for settings can be made");
+        std::fs::create_dir_all(&folder).expect("the settings folder can be created");
         let mut cluster = Cluster {
             client: Client::new(Duration::from_secs(2)),
             engines: Vec::new(),
@@ -153,41 +158,45 @@
             limits: self.limits.to_string(),
             tls: self.tls,
         };
-        for (number, domain) in self.engines.iter().enumerate() {
+        for (number, domain) in self.engine_domains.iter().enumerate() {
             let engine = format!("engine-{number}");
-            let engine = cluster.add_engine(&engine, domain, &self.engine).await;
+            let engine = cluster
+                .add_engine(&engine, domain, &self.engine_flags)
+                .await;
             cluster.engines.push(engine);
         }
-        for (number, domain) in self.services.iter().enumerate() {
+        for (number, domain) in self.service_domains.iter().enumerate() {
             let service = cluster.add_service(&format!("desk-{number}"), domain).await;
             cluster.services.push(service);
         }
-        cluster.append(&records()).await;
-        for (number, domain) in self.instances.iter().enumerate() {
-            cluster.join(&format!("entry-{number}"), domain).await;
+        cluster.append(&initial_config()).await;
+        for (number, domain) in self.instance_domains.iter().enumerate() {
+            cluster
+                .add_instance(&format!("entry-{number}"), domain)
+                .await;
         }
         for number in 0..cluster.instances.len() {
-            cluster.ready(number).await;
+            cluster.wait_until_ready(number).await;
         }
         cluster
     }
 }
 
-fn records() -> String {
-    let hash = blake3::hash(KEY.as_bytes()).to_hex();
-    let facts = (0..8).map(|number| {
+fn initial_config() -> String {
+    let hash = blake3::hash(API_KEY.as_bytes()).to_hex();
+    let endpoints = (0..8).map(|number| {
         format!("[endpoint.engine-{number}]\ncold_limit = 1000\ncold_time = \"0ms\"\n")
     });
     format!(
         "schema = 1\n[customer.workshop]\nkey_hashes = [\"{hash}\"]\n\
      [route.survey]\nversions = [{{ model = \"survey-1\" }}]\n[service.desk]\nidempotent = [\"/lookup\"]\n{}\
      [endpoint.desk-0]\ncold_limit = 1000\n",
-        facts.collect::<String>()
+        endpoints.collect::<String>()
     )
 }
 
 impl Cluster {
-    /// Starts one more engine.
+    /// Starts an engine and adds it to the instance list.
     pub async fn add_engine(&self, name: &str, domain: &str, flags: &[&str]) -> Process {
         let mut rest = vec!["--model=survey-1", "--lag-ms=20"];
         if !flags.iter().any(|flag| flag.starts_with("--step-base")) {
@@ -199,25 +208,26 @@
         engine
     }
 
-    /// Starts one more service.
+    /// Starts a service and adds it to the instance list.
     pub async fn add_service(&self, name: &str, domain: &str) -> Process {
         let service = Process::start(name, &stand_in("service", &[]));
         self.register(&service, domain, "service", "live").await;
         service
     }
 
-    /// Starts one more daemon.
-    pub async fn join(&mut self, name: &str, domain: &str) {
+    /// Starts a daemon and adds it to the instance list.
+    pub async fn add_instance(&mut self, name: &str, domain: &str) {
         let log = self.log.address.clone();
-        self.join_with(name, domain, &log).await;
+        self.add_instance_with_log(name, domain, &log).await;
     }
 
-    /// Starts one more daemon that cannot reach the log.
-    pub async fn join_cut_off(&mut self, name: &str, domain: &str) {
-        self.join_with(name, domain, "127.0.0.1:9").await;
+    /// Starts a daemon with an unreachable log address.
+    pub async fn add_instance_without_log(&mut self, name: &str, domain: &str) {
+        self.add_instance_with_log(name, domain, "127.0.0.1:9")
+            .await;
     }
 
-    /// Takes a row out of the instance list.
+    /// Removes an instance from the instance list.
     pub async fn unregister(&self, name: &str) {
         let request = Request::delete(format!("/instances/{name}")).header("host", "list");
         let request = request
@@ -228,10 +238,13 @@
             .send(&self.list.address, request)
             .await
             .expect("the list answers");
-        reply.read_body(1 << 20).await.expect("the answer arrives");
+        reply
+            .read_body(1 << 20)
+            .await
+            .expect("the response body is complete");
     }
 
-    async fn join_with(&mut self, name: &str, domain: &str, log: &str) {
+    async fn add_instance_with_log(&mut self, name: &str, domain: &str, log: &str) {
         let certificate = Command::new(env!("CARGO_BIN_EXE_carawayhead"))
             .args(["certificate", name, "--folder"])
             .arg(&self.folder)
@@ -246,7 +259,7 @@
         let file = self.folder.join(format!("{name}.toml"));
         let settings = format!(
             "[instance]\nname = \"{name}\"\ndomain = \"{domain}\"\n\
-       [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{SECRET}\"\n{tls}\
+       [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{HANDLE_SECRET}\"\n{tls}\
        [operator]\nlisten = \"127.0.0.1:0\"\ndrain_notice = \"200ms\"\n\
        [platform]\nlog = \"{}\"\nlist = \"{}\"\nlist_interval = \"50ms\"\n\
              [fellow]\nlisten = \"127.0.0.1:0\"\nauthority = \"{keys}/authority.pem\"\n\
@@ -261,11 +274,11 @@
         self.instances.push(instance);
     }
 
-    /// Puts a row into the instance list.
+    /// Adds a process to the instance list.
     pub async fn register(&self, process: &Process, domain: &str, role: &str, state: &str) {
         let entry = role == "entry";
         let address = if entry {
-            &process.fellow
+            &process.peer_address
         } else {
             &process.address
         };
@@ -287,40 +300,43 @@
             .send(&self.log.address, request)
             .await
             .expect("the log answers");
-        assert!(reply.status().is_success(), "the log takes the record");
+        assert!(reply.status().is_success(), "the log accepts the record");
     }
 
-    /// Waits until a daemon is ready and has a load report of every engine.
-    pub async fn ready(&self, number: usize) {
+    /// Waits until a daemon is ready and every engine and service is usable.
+    pub async fn wait_until_ready(&self, number: usize) {
         let address = &self.instances[number].operator;
         let engines = self.engines.len() + self.services.len();
-        self.until("the daemon is ready", async || {
+        self.wait_until("the daemon is ready", async || {
             let status = self.get(address, "/status").await;
             status["ready"] == json!(true) && status["usable"] == json!(engines)
         })
         .await;
     }
 
-    /// Waits until every daemon has the records below this offset in force.
-    pub async fn in_force(&self, next: u64) {
+    /// Waits until every daemon has applied the records below this offset.
+    pub async fn wait_for_config(&self, next: u64) {
         for instance in &self.instances {
-            self.until("the records are in force", async || {
+            self.wait_until("the records are applied", async || {
                 self.get(&instance.operator, "/status").await["config_next_offset"] == json!(next)
             })
             .await;
         }
     }
 
-    /// Waits for a condition; failing to reach it is the only use of time.
-    pub async fn until(&self, what: &str, condition: impl AsyncFn() -> bool) {
-        let begun = Instant::now();
+    /// Polls a condition and panics if it does not hold within `WAIT_TIMEOUT`.
+    pub async fn wait_until(&self, what: &str, condition: impl AsyncFn() -> bool) {
+        let started = Instant::now();
         while !condition().await {
-            assert!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting until {what}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// The JSON at an address.
+    /// Gets JSON; `Value::Null` if the request fails.
     pub async fn get(&self, address: &str, path: &str) -> Value {
         let request = Request::get(path)
             .header("host", "test")
@@ -345,17 +361,24 @@
             .send(address, request)
             .await
             .expect("the stand-in answers");
-        assert!(reply.status().is_success(), "{path} took {body}");
-        reply.read_body(1 << 20).await.expect("the answer arrives");
+        assert!(reply.status().is_success(), "{path} accepts {body}");
+        reply
+            .read_body(1 << 20)
+            .await
+            .expect("the response body is complete");
     }
 
-    /// Sends a request to a daemon.
-    pub async fn ask(&self, number: usize, request: Ask) -> Result<Reply, endpoint::Error> {
+    /// Sends a request to a daemon and returns the response as soon as its head arrives.
+    pub async fn send(
+        &self,
+        number: usize,
+        request: CallerRequest,
+    ) -> Result<Reply, endpoint::Error> {
         let mut built = Request::builder()
             .method(request.method)
             .uri(&request.path)
             .header("host", "test")
-            .header("authorization", format!("Bearer {KEY}"))
+            .header("authorization", format!("Bearer {API_KEY}"))
             .header("content-type", "application/json");
         for (name, value) in &request.headers {
             built = built.header(*name, value);
@@ -367,28 +390,31 @@
             .await
     }
 
-    /// Begins a stream through the first daemon and reads its first events.
-    pub async fn begin(&self, tokens: u32, count: usize) -> (Reply, Events) {
-        let asked = self.ask(0, Ask::survey(tokens, true)).await;
-        let mut reply = asked.expect("an answer");
+    /// Starts a stream through the first daemon and reads its first `count` events.
+    pub async fn begin_stream(&self, tokens: u32, count: usize) -> (Reply, Events) {
+        let sent = self.send(0, CallerRequest::generation(tokens, true)).await;
+        let mut reply = sent.expect("a response");
         let mut events = Events::default();
-        assert!(events.read(&mut reply, count).await, "the stream begins");
+        assert!(events.read(&mut reply, count).await, "the stream starts");
         (reply, events)
     }
 
-    /// Sends a request and reads its whole answer.
-    pub async fn whole(&self, number: usize, request: Ask) -> (u16, Value) {
-        let reply = self.ask(number, request).await.expect("the daemon answers");
+    /// Sends a request and returns the status and body of its response.
+    pub async fn call(&self, number: usize, request: CallerRequest) -> (u16, Value) {
+        let reply = self
+            .send(number, request)
+            .await
+            .expect("the daemon answers");
         let status = reply.status().as_u16();
         let body = reply
             .read_body(1 << 24)
             .await
-            .expect("the answer arrives whole");
+            .expect("the response body is complete");
         (status, serde_json::from_slice(&body).unwrap_or_default())
     }
 
-    /// Orders that the services ran, by key.
-    pub async fn runs(&self, key: &str) -> usize {
+    /// Number of orders with this idempotency key that the services ran.
+    pub async fn run_count(&self, key: &str) -> usize {
         let mut count = 0;
         for service in &self.services {
             let runs = self.get(&service.address, "/control").await;
@@ -405,23 +431,23 @@
     }
 }
 
-/// A request to a daemon.
-pub struct Ask {
+/// A caller's request to a daemon.
+pub struct CallerRequest {
     body: String,
     headers: Vec<(&'static str, String)>,
     method: &'static str,
     path: String,
 }
 
-impl Ask {
-    /// A generation of this many tokens.
-    pub fn survey(tokens: u32, stream: bool) -> Self {
+impl CallerRequest {
+    /// Requests the generation of this many tokens.
+    pub fn generation(tokens: u32, stream: bool) -> Self {
         let body =
             json!({"model": "survey", "prompt": format!("tokens={tokens}"), "stream": stream});
         Self::post("/v1/completions", &body.to_string())
     }
 
-    /// An order under a key.
+    /// Requests an order with an idempotency key.
     pub fn order(key: &str, body: &str) -> Self {
         Self::post("/services/desk/orders", body).header("idempotency-key", key)
     }
@@ -441,12 +467,11 @@
     }
 }
 
-/// A fresh order key.
-pub fn key() -> String {
+pub fn new_idempotency_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// The events of a stream as far as they have come.
+/// The events of a stream received so far.
 #[derive(Default)]
 pub struct Events {
     pub data: Vec<String>,
@@ -455,7 +480,7 @@
 }
 
 impl Events {
-    /// Reads until `count` events have come; false if the stream ended before.
+    /// Reads until `count` events are received; false if the stream ends before.
     pub async fn read(&mut self, reply: &mut Reply, count: usize) -> bool {
         while self.data.len() < count {
             let Ok(Some(part)) = reply.chunk().await else {
@@ -476,12 +501,11 @@
         true
     }
 
-    /// Reads to the end.
-    pub async fn finish(&mut self, reply: &mut Reply) {
+    pub async fn read_to_end(&mut self, reply: &mut Reply) {
         self.read(reply, usize::MAX).await;
     }
 
-    /// The words of the tokens, and whether the stream ended as it should.
+    /// The text of each token, and whether the stream ended with `[DONE]`.
     pub fn words(&self) -> (Vec<String>, bool) {
         let done = self.data.last().is_some_and(|data| data == "[DONE]");
         let words = self.data.iter().filter_map(|data| {
@@ -492,7 +516,7 @@
     }
 }
 
-/// The words of a whole generation.
-pub fn expected(tokens: u32) -> Vec<String> {
+/// The words of a complete generation of this many tokens.
+pub fn expected_words(tokens: u32) -> Vec<String> {
     (0..tokens).map(|index| format!("w{index}")).collect()
 }
--- a/crates/carawayhead/tests/leaving.rs
+++ b/crates/carawayhead/tests/leaving.rs
@@ -1,9 +1,9 @@
-//! Planned stops, failure domains taken out, endpoints that leave or start cold.
+//! Planned stops, disabled failure domains, and endpoints that leave or start cold.
 
 mod common;
 
 use {
-    common::{Ask, Builder, Events, KEY, expected},
+    common::{API_KEY, Builder, CallerRequest, Events, expected_words},
     rustix::process::Signal,
     serde_json::json,
     std::time::Duration,
@@ -13,23 +13,22 @@
     },
 };
 
-/// An instance is told to stop while it streams. Stopping at once would cut the
-/// report; it finishes what it has begun, and then ends well.
+/// An instance that receives SIGTERM completes its running streams before it exits.
 #[tokio::test]
-async fn a_planned_stop_cuts_no_stream() {
+async fn planned_stop_completes_running_streams() {
     let mut cluster = Builder {
-        engine: vec!["--step-base=20000"],
+        engine_flags: vec!["--step-base=20000"],
         ..Builder::default()
     }
     .start()
     .await;
-    let (mut reply, mut events) = cluster.begin(60, 5).await;
+    let (mut reply, mut events) = cluster.begin_stream(60, 5).await;
     cluster.instances[0].signal(Signal::TERM);
-    events.finish(&mut reply).await;
-    assert_eq!(events.words(), (expected(60), true));
+    events.read_to_end(&mut reply).await;
+    assert_eq!(events.words(), (expected_words(60), true));
     let mut ended = None;
     for _ in 0..500 {
-        ended = cluster.instances[0].exited();
+        ended = cluster.instances[0].exit_success();
         if ended.is_some() {
             break;
         }
@@ -38,13 +37,12 @@
     assert_eq!(ended, Some(true));
 }
 
-/// Operators take a failure domain out. Work sent there afterwards would be lost
-/// with the domain; new work goes elsewhere from every instance, that of the
-/// domain itself included, and running streams there are not cut.
+/// After operators disable a failure domain, no instance, including those in the domain,
+/// sends it new requests, and its running streams complete.
 #[tokio::test]
-async fn a_domain_taken_out_gets_no_new_work_and_keeps_its_streams() {
+async fn disabled_domain_gets_no_new_requests_and_keeps_streams() {
     let cluster = Builder {
-        engine: vec!["--step-base=20000"],
+        engine_flags: vec!["--step-base=20000"],
         ..Builder::default()
     }
     .start()
@@ -53,42 +51,43 @@
     for number in 0..4 {
         streams.push(
             cluster
-                .ask(number % 2, Ask::survey(60, true))
+                .send(number % 2, CallerRequest::generation(60, true))
                 .await
-                .expect("an answer"),
+                .expect("the instance responds"),
         );
     }
     cluster
         .append("schema = 1\n[domain.south]\nstate = \"out\"\n")
         .await;
-    cluster.in_force(2).await;
+    cluster.wait_for_config(2).await;
     let before = cluster.get(&cluster.engines[1].address, "/control").await["starts"].clone();
     for number in 0..10 {
-        let (status, _) = cluster.whole(number % 2, Ask::survey(2, false)).await;
+        let (status, _) = cluster
+            .call(number % 2, CallerRequest::generation(2, false))
+            .await;
         assert_eq!(status, 200);
     }
     let after = cluster.get(&cluster.engines[1].address, "/control").await["starts"].clone();
     assert_eq!(before, after);
     for mut reply in streams {
         let mut events = Events::default();
-        events.finish(&mut reply).await;
-        assert_eq!(events.words(), (expected(60), true));
+        events.read_to_end(&mut reply).await;
+        assert_eq!(events.words(), (expected_words(60), true));
     }
 }
 
-/// An instance cannot reach the log at all, as when its failure domain is cut off
-/// from the platform. It would go on sending work to a domain that was taken out;
-/// it hears of the record from a fellow instance instead.
+/// An instance that cannot reach the log gets new configuration records from a peer.
+/// Otherwise it would keep sending requests to a disabled domain.
 #[tokio::test]
-async fn an_instance_without_the_log_follows_through_a_fellow() {
+async fn instance_without_log_gets_config_from_a_peer() {
     let mut cluster = Builder::default().start().await;
-    cluster.join_cut_off("entry-9", "north").await;
+    cluster.add_instance_without_log("entry-9", "north").await;
     cluster
         .append("schema = 1\n[domain.south]\nstate = \"out\"\n")
         .await;
     let address = &cluster.instances[2].operator;
     cluster
-        .until("the record came through a fellow", async || {
+        .wait_until("the record is received from a peer", async || {
             let status = cluster.get(address, "/status").await;
             status["config_next_offset"] == json!(2)
                 && status["config_stale_ms"].as_u64() < Some(3000)
@@ -96,14 +95,13 @@
         .await;
 }
 
-/// An engine starts and bears two requests; a third makes it fall over. Six
-/// requests that come at once through three instances would throw it over at
-/// each start; they are let in by parts that sum up to the two.
+/// A cold engine crashes under more than two concurrent requests. Three instances that
+/// send it six requests at once must stay below this limit in sum.
 #[tokio::test]
-async fn a_cold_engine_gets_no_more_than_it_bears_over_all_instances() {
+async fn cold_limit_holds_across_all_instances() {
     let mut cluster = Builder {
-        engines: vec!["north"],
-        instances: vec!["north", "south", "north"],
+        engine_domains: vec!["north"],
+        instance_domains: vec!["north", "south", "north"],
         ..Builder::default()
     }
     .start()
@@ -114,20 +112,20 @@
     cluster
         .append("schema = 1\n[endpoint.cold]\ncold_limit = 2\ncold_time = \"2s\"\n")
         .await;
-    cluster.in_force(3).await;
+    cluster.wait_for_config(3).await;
     let flags = ["--cold-ms=1500", "--cold-limit=2", "--step-base=5000"];
     let engine = cluster.add_engine("cold", "south", &flags).await;
     for instance in &cluster.instances {
         cluster
-            .until("the engine is listed", async || {
+            .wait_until("the engine is listed", async || {
                 cluster.get(&instance.operator, "/status").await["endpoints"] == json!(3)
             })
             .await;
     }
-    let ask = |number: usize| cluster.whole(number % 3, Ask::survey(8, false));
+    let send = |number: usize| cluster.call(number % 3, CallerRequest::generation(8, false));
     for _ in 0..4 {
-        let first = async { tokio::join!(ask(0), ask(1), ask(2)) };
-        let second = async { tokio::join!(ask(3), ask(4), ask(5)) };
+        let first = async { tokio::join!(send(0), send(1), send(2)) };
+        let second = async { tokio::join!(send(3), send(4), send(5)) };
         let (first, second) = tokio::join!(first, second);
         assert_eq!([first.0.0, first.1.0, first.2.0], [200; 3]);
         assert_eq!([second.0.0, second.1.0, second.2.0], [200; 3]);
@@ -137,10 +135,10 @@
     cluster.engines.push(engine);
 }
 
-/// An engine begins to leave and says so itself, before the instance list does.
-/// Work sent there in between would be refused or lost; it gets none.
+/// An engine reports that it is leaving before the instance list does. Requests sent to
+/// it in between would be rejected or lost.
 #[tokio::test]
-async fn an_engine_that_says_it_is_leaving_gets_no_new_work() {
+async fn leaving_engine_gets_no_new_requests() {
     let cluster = Builder::default().start().await;
     cluster
         .post(
@@ -151,24 +149,25 @@
         .await;
     for instance in &cluster.instances {
         cluster
-            .until("the engine is passed over", async || {
+            .wait_until("the engine is skipped", async || {
                 cluster.get(&instance.operator, "/status").await["usable"] == json!(2)
             })
             .await;
     }
     for number in 0..6 {
-        let (status, _) = cluster.whole(number % 2, Ask::survey(2, false)).await;
+        let (status, _) = cluster
+            .call(number % 2, CallerRequest::generation(2, false))
+            .await;
         assert_eq!(status, 200);
     }
     let stats = cluster.get(&cluster.engines[0].address, "/control").await;
     assert_eq!(stats["starts"], json!(0));
 }
 
-/// The records of the first days have aged out of the log when an instance starts.
-/// Without what they said it would know no customer and turn everybody away; it
-/// starts from a snapshot that the others have appended in the meantime.
+/// The log has expired its first records when an instance starts. Without the snapshot
+/// that other instances appended, it would know no customer and reject every request.
 #[tokio::test]
-async fn an_instance_starts_after_the_records_have_aged_out() {
+async fn instance_starts_from_snapshot_after_records_expired() {
     let mut cluster = Builder {
         limits: "snapshot_interval = \"1s\"",
         ..Builder::default()
@@ -185,44 +184,47 @@
     for stream in ["config", "snapshots"] {
         let path = format!("/streams/{stream}/records?from=0");
         cluster
-            .until("records have aged out", async || {
+            .wait_until("records have expired", async || {
                 cluster.get(&cluster.log.address, &path).await["first"].as_u64() > Some(0)
             })
             .await;
     }
-    cluster.join("entry-7", "north").await;
-    cluster.ready(2).await;
-    let (status, _) = cluster.whole(2, Ask::survey(3, false)).await;
+    cluster.add_instance("entry-7", "north").await;
+    cluster.wait_until_ready(2).await;
+    let (status, _) = cluster.call(2, CallerRequest::generation(3, false)).await;
     assert_eq!(status, 200);
 }
 
-/// An instance is told to stop while a caller is still sending its request. It was
-/// accepted, so it must be answered, although nothing seems to be in progress.
+/// An instance receives SIGTERM while a caller is still sending a request body. The
+/// connection must stay open until the request is answered.
 #[tokio::test]
-async fn a_request_that_is_still_coming_at_a_planned_stop_is_answered() {
+async fn partially_received_request_is_answered_during_planned_stop() {
     let cluster = Builder::default().start().await;
     let body = json!({"model": "survey", "prompt": "tokens=2"}).to_string();
     let head = format!(
-        "POST /v1/completions HTTP/1.1\r\nhost: test\r\nauthorization: Bearer {KEY}\r\n\
+        "POST /v1/completions HTTP/1.1\r\nhost: test\r\nauthorization: Bearer {API_KEY}\r\n\
          connection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    let (first, rest) = body.split_at(10);
+    let (sent, remaining) = body.split_at(10);
     let mut stream = TcpStream::connect(&cluster.instances[0].address)
         .await
-        .expect("a listener");
+        .expect("the instance accepts connections");
     stream
-        .write_all(format!("{head}{first}").as_bytes())
+        .write_all(format!("{head}{sent}").as_bytes())
         .await
-        .expect("a connection");
+        .expect("the request can be written");
     tokio::time::sleep(Duration::from_millis(100)).await;
     cluster.instances[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(600)).await;
     stream
-        .write_all(rest.as_bytes())
+        .write_all(remaining.as_bytes())
         .await
         .expect("the connection is still open");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("an answer");
+    stream
+        .read_to_string(&mut answer)
+        .await
+        .expect("the instance responds");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
--- a/crates/carawayhead/tests/operators.rs
+++ b/crates/carawayhead/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Commands of operators, through real processes.
+//! Operator commands against running daemons.
 
 mod common;
 
@@ -25,11 +25,10 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Two operators edit the same route, each from what `show` printed. The second
-/// would undo the first unknowingly; it is told which record came first, nothing
-/// of it is in force, and every instance has the first one's.
+/// Two operators publish changes based on the same version of a route. The second
+/// publication must fail with a conflict instead of overwriting the first.
 #[tokio::test]
-async fn the_second_of_two_racing_operators_is_told_which_record_won() {
+async fn concurrent_publication_reports_the_winning_record() {
     let cluster = Builder::default().start().await;
     let log = cluster.log.address.clone();
     let shown = run(&["show", "--log", &log, "route.survey"]);
@@ -38,12 +37,12 @@
     let first = file(&cluster, "a.toml", &shown.replace("256", "300"));
     let second = file(&cluster, "b.toml", &shown.replace("256", "400"));
     assert!(run(&["publish", "--log", &log, &first]).status.success());
-    let beaten = run(&["publish", "--log", &log, &second]);
-    assert_eq!(beaten.status.code(), Some(3));
-    let told = text(&beaten.stderr);
+    let conflict = run(&["publish", "--log", &log, &second]);
+    assert_eq!(conflict.status.code(), Some(3));
+    let stderr = text(&conflict.stderr);
     assert!(
-        told.contains("route.survey: beaten by the record at offset 1"),
-        "{told}"
+        stderr.contains("route.survey: beaten by the record at offset 1"),
+        "{stderr}"
     );
     let shown = text(&run(&["show", "--log", &log, "route.survey"]).stdout);
     assert!(shown.contains("300"), "{shown}");
@@ -51,11 +50,10 @@
     assert!(history.contains("route.survey beaten by 1"), "{history}");
 }
 
-/// The answer to a publication is lost while the record stands in the log. Taken
-/// for a failure it would be published again and lose against itself; the command
-/// looks it up and says that it is in force.
+/// The log appends a record but its response is lost. Publishing the record again would
+/// conflict with itself, so the command reads the log to confirm the append.
 #[tokio::test]
-async fn a_publication_whose_answer_was_lost_is_settled_by_reading() {
+async fn publication_with_lost_response_is_confirmed_by_reading_the_log() {
     let cluster = Builder::default().start().await;
     let log = cluster.log.address.clone();
     cluster
@@ -63,11 +61,11 @@
         .await;
     let drained = run(&["drain", "--log", &log, "south"]);
     assert!(drained.status.success(), "{}", text(&drained.stderr));
-    cluster.in_force(2).await;
+    cluster.wait_for_config(2).await;
 }
 
 #[tokio::test]
-async fn commands_end_with_the_codes_they_document() {
+async fn commands_exit_with_documented_codes() {
     let cluster = Builder::default().start().await;
     let log = cluster.log.address.clone();
     let faulty = file(
