--- a/crates/bench/src/bin/mutate.rs
+++ b/crates/bench/src/bin/mutate.rs
@@ -1,6 +1,6 @@
-//! Breaks each guard in `mutations.toml` and shows that some history or test notices.
+//! Mutation tests: applies each mutation of `mutations.toml` and checks that a test fails.
 //!
-//! A guard whose removal goes unnoticed has no test.
+//! A mutation that no test detects marks code without a test.
 
 use {
     bpaf::Bpaf,
@@ -12,11 +12,11 @@
     },
 };
 
-/// Break each guard in turn and run the histories
+/// Apply each mutation in turn and run the tests that should detect it
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Options {
-    /// Histories run for each broken guard
+    /// Randomised histories run for each mutation
     #[bpaf(argument("COUNT"), fallback(4000))]
     histories: u32,
     /// Run only mutations whose name contains this
@@ -25,7 +25,7 @@
 }
 
 #[derive(Deserialize)]
-struct List {
+struct MutationList {
     mutation: Vec<Mutation>,
 }
 
@@ -51,96 +51,107 @@
 fn run(options: &Options) -> io::Result<bool> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let list = fs::read_to_string(root.join("mutations.toml"))?;
-    let list = toml::from_str::<List>(&list).map_err(io::Error::other)?;
-    let work = root.join("target/mutants/work");
-    copy(&root, &work)?;
-    let mut missed = 0;
+    let list = toml::from_str::<MutationList>(&list).map_err(io::Error::other)?;
+    let work_dir = root.join("target/mutants/work");
+    copy_workspace(&root, &work_dir)?;
+    let mut undetected = 0;
     for mutation in list
         .mutation
         .iter()
         .filter(|mutation| mutation.name.contains(&options.only))
     {
-        let noticed = try_out(&root, &work, mutation, options.histories)?;
-        missed += usize::from(!noticed);
+        let detected = is_detected(&root, &work_dir, mutation, options.histories)?;
+        undetected += usize::from(!detected);
         println!(
             "{:<8} {}",
-            if noticed { "noticed" } else { "MISSED" },
+            if detected { "detected" } else { "MISSED" },
             mutation.name
         );
     }
-    println!("{missed} guards without a test");
-    Ok(missed == 0)
+    println!("{undetected} mutations not detected");
+    Ok(undetected == 0)
 }
 
-/// Copies what the tests of the decisions need.
-fn copy(root: &Path, work: &Path) -> io::Result<()> {
-    if work.exists() {
-        fs::remove_dir_all(work)?;
+/// Copies the parts of the workspace that the tests need, so that mutations don't touch it.
+fn copy_workspace(root: &Path, work_dir: &Path) -> io::Result<()> {
+    if work_dir.exists() {
+        fs::remove_dir_all(work_dir)?;
     }
     for name in ["Cargo.toml", "Cargo.lock"] {
-        fs::create_dir_all(work)?;
-        fs::copy(root.join(name), work.join(name))?;
+        fs::create_dir_all(work_dir)?;
+        fs::copy(root.join(name), work_dir.join(name))?;
     }
     for name in ["crates", "platform"] {
-        copy_folder(&root.join(name), &work.join(name))?;
+        copy_directory(&root.join(name), &work_dir.join(name))?;
     }
     Ok(())
 }
 
-/// The tests that are to notice a broken guard, by the package that it stands in.
-fn tests(file: &Path) -> Vec<&str> {
+/// `cargo test` arguments that select the tests for a mutation of this file.
+fn test_arguments(file: &Path) -> Vec<&str> {
     if file.starts_with("crates/forward") {
         return vec!["-p", "forward"];
     }
     vec!["-p", "decision", "--test", "histories"]
 }
 
-fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
+fn copy_directory(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
     for entry in fs::read_dir(from)? {
         let entry = entry?;
-        let target = to.join(entry.file_name());
+        let destination = to.join(entry.file_name());
         if entry.file_type()?.is_dir() {
-            copy_folder(&entry.path(), &target)?;
+            copy_directory(&entry.path(), &destination)?;
         } else {
-            fs::copy(entry.path(), target)?;
+            fs::copy(entry.path(), destination)?;
         }
     }
     Ok(())
 }
 
-/// Whether the histories fail with the guard broken.
-fn try_out(root: &Path, work: &Path, mutation: &Mutation, histories: u32) -> io::Result<bool> {
+/// Whether the tests fail with the mutation applied.
+fn is_detected(
+    root: &Path,
+    work_dir: &Path,
+    mutation: &Mutation,
+    histories: u32,
+) -> io::Result<bool> {
     let text = fs::read_to_string(root.join(&mutation.file))?;
-    let places = text.matches(&mutation.find).count();
-    if places != 1 {
+    let occurrences = text.matches(&mutation.find).count();
+    if occurrences != 1 {
         let name = mutation.file.display();
-        let fault = format!("{}: 'find' stands {places} times in {name}", mutation.name);
-        return Err(io::Error::other(fault));
+        let message = format!(
+            "{}: 'find' occurs {occurrences} times in {name}, expected once",
+            mutation.name
+        );
+        return Err(io::Error::other(message));
     }
-    let broken = work.join(&mutation.file);
-    fs::write(&broken, text.replace(&mutation.find, &mutation.replace))?;
-    let target = root.join("target/mutants/target");
+    let mutated_file = work_dir.join(&mutation.file);
+    fs::write(
+        &mutated_file,
+        text.replace(&mutation.find, &mutation.replace),
+    )?;
+    let target_dir = root.join("target/mutants/target");
     let cargo = |arguments: &[&str]| {
         Command::new(env!("CARGO"))
             .args(arguments)
             .args(["--quiet", "--locked"])
-            .args(tests(&mutation.file))
-            .current_dir(work)
-            .env("CARGO_TARGET_DIR", &target)
+            .args(test_arguments(&mutation.file))
+            .current_dir(work_dir)
+            .env("CARGO_TARGET_DIR", &target_dir)
             .env("HISTORIES", histories.to_string())
             .env("RUST_BACKTRACE", "0")
             .output()
     };
-    let built = cargo(&["test", "--no-run"])?;
-    if !built.status.success() {
-        let fault = String::from_utf8_lossy(&built.stderr).into_owned();
+    let build = cargo(&["test", "--no-run"])?;
+    if !build.status.success() {
+        let message = String::from_utf8_lossy(&build.stderr).into_owned();
         return Err(io::Error::other(format!(
-            "{} does not build: {fault}",
+            "{} does not build: {message}",
             mutation.name
         )));
     }
-    let noticed = !cargo(&["test"])?.status.success();
-    fs::write(&broken, text)?;
-    Ok(noticed)
+    let detected = !cargo(&["test"])?.status.success();
+    fs::write(&mutated_file, text)?;
+    Ok(detected)
 }
