--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -1,21 +1,21 @@
-//! A small system of real processes, for measurements.
+//! A small cluster of real processes, for measurements.
 
 use {
     crate::{
         prelude::*,
-        process::{KEY, get, post, register},
+        process::{CALLER_KEY, get_json, post, register},
     },
     standin::list::Row,
 };
 
-/// Two daemons, an engine in each of two failure domains, a plain service.
+/// A daemon and an engine in each of two failure domains, and a plain service.
 #[derive(Debug)]
-pub struct Setup {
-    /// HTTP client of the measurement.
+pub struct Cluster {
+    /// HTTP client for requests of the measurement.
     pub client: Client,
-    /// The daemons.
+    /// The daemons, in the order of `DOMAINS`.
     pub daemons: Vec<Process>,
-    /// The engines.
+    /// The engines, in the order of `DOMAINS`.
     pub engines: Vec<Process>,
     /// The instance list.
     pub list: Process,
@@ -28,14 +28,14 @@
 /// The failure domains.
 pub const DOMAINS: [&str; 2] = ["north", "south"];
 
-impl Setup {
-    /// Starts everything and waits until it is ready.
+impl Cluster {
+    /// Starts all processes and waits until each daemon can use every endpoint.
     ///
     /// # Errors
     ///
-    /// A process cannot be started or reached.
+    /// A process cannot be started or reached, or a daemon is not ready in time.
     pub async fn start() -> Result<Self, Error> {
-        let mut setup = Self {
+        let mut cluster = Self {
             client: Client::new(Duration::from_secs(5)),
             daemons: Vec::new(),
             engines: Vec::new(),
@@ -43,15 +43,15 @@
             log: Process::stand_in("log", &[])?,
             service: Process::stand_in("service", &[])?,
         };
-        let address = setup.service.address.clone();
-        setup
+        let address = cluster.service.address.clone();
+        cluster
             .register("desk", &address, DOMAINS[0], "service")
             .await?;
         post(
-            &setup.client,
-            &setup.log.address,
+            &cluster.client,
+            &cluster.log.address,
             "/streams/config/records",
-            &record(),
+            &config_record(),
         )
         .await?;
         for domain in DOMAINS {
@@ -63,27 +63,28 @@
             ];
             let engine = Process::stand_in("engine", &flags)?;
             let name = format!("engine-{domain}");
-            setup
+            cluster
                 .register(&name, &engine.address, domain, "engine")
                 .await?;
-            setup.engines.push(engine);
+            cluster.engines.push(engine);
             let name = format!("entry-{domain}");
-            let daemon = Process::daemon(&name, domain, &setup.log.address, &setup.list.address)?;
-            setup
+            let daemon =
+                Process::daemon(&name, domain, &cluster.log.address, &cluster.list.address)?;
+            cluster
                 .register(&name, &daemon.address, domain, "entry")
                 .await?;
-            setup.daemons.push(daemon);
+            cluster.daemons.push(daemon);
         }
-        setup.ready().await?;
-        Ok(setup)
+        cluster.wait_until_ready().await?;
+        Ok(cluster)
     }
 
-    /// A request to a daemon, not yet sent.
+    /// Builds an authenticated POST request to a daemon.
     ///
     /// # Errors
     ///
-    /// It cannot be built.
-    pub fn ask(
+    /// The path or a header is invalid.
+    pub fn build_request(
         &self,
         daemon: usize,
         path: &str,
@@ -91,25 +92,27 @@
     ) -> Result<Request<Full<Bytes>>, Error> {
         let request = Request::post(path)
             .header("host", &self.daemons[daemon].address)
-            .header("authorization", format!("Bearer {KEY}"))
+            .header("authorization", format!("Bearer {CALLER_KEY}"))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.to_string())))?;
         Ok(request)
     }
 
-    async fn ready(&self) -> Result<(), Error> {
+    async fn wait_until_ready(&self) -> Result<(), Error> {
         for daemon in &self.daemons {
-            let mut ready = false;
+            let mut usable = false;
             for _ in 0..200 {
-                let status = get(&self.client, &daemon.operator, "/status").await?;
-                ready = status["usable"] == json!(self.engines.len() + 1);
-                if ready {
+                let status = get_json(&self.client, &daemon.operator_address, "/status").await?;
+                usable = status["usable"] == json!(self.engines.len() + 1);
+                if usable {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
-            if !ready {
-                return Err(Error::Late("a daemon is ready".to_string()));
+            if !usable {
+                return Err(Error::Timeout(
+                    "a daemon reported every endpoint as usable".to_string(),
+                ));
             }
         }
         Ok(())
@@ -127,15 +130,15 @@
     }
 }
 
-fn record() -> String {
-    let hash = blake3::hash(KEY.as_bytes()).to_hex();
+fn config_record() -> String {
+    let key_hash = blake3::hash(CALLER_KEY.as_bytes()).to_hex();
     let names = ["engine-north", "engine-south", "desk"];
-    let facts =
+    let endpoint_settings =
         names.map(|name| format!("[endpoint.{name}]\ncold_limit = 100000\ncold_time = \"0ms\"\n"));
     format!(
-        "schema = 1\n[customer.bench]\nkey_hashes = [\"{hash}\"]\n\
+        "schema = 1\n[customer.bench]\nkey_hashes = [\"{key_hash}\"]\n\
          [route.m]\nversions = [{{ model = \"m\" }}]\n\
          [service.desk]\nidempotent = [\"/lookup\"]\n{}",
-        facts.concat()
+        endpoint_settings.concat()
     )
 }
--- a/crates/bench/src/decide.rs
+++ b/crates/bench/src/decide.rs
@@ -1,4 +1,4 @@
-//! What decisions cost, by the core alone, as slopes over its sizes.
+//! CPU time and memory of the decision core alone, by the size of the system.
 
 use {
     crate::prelude::*,
@@ -18,32 +18,32 @@
     std::hint::black_box,
 };
 
-/// Sizes of the system: entry instances, endpoints, customers.
-const SIZES: [(usize, usize, usize); 4] = [
+/// Entry instances, endpoints and customers of each run.
+const SYSTEM_SIZES: [(usize, usize, usize); 4] = [
     (6, 20, 10),
     (6, 20, 11_000),
     (320, 2_200, 10),
     (320, 2_200, 11_000),
 ];
 
-/// Repetitions of each measurement.
-const TIMES: u32 = 2_000;
+/// Repetitions over which a cost is averaged.
+const REPETITIONS: u32 = 2_000;
 
-/// Measures and prints every size.
+/// Runs the measurement and prints one line per system size.
 pub fn run() {
     println!(
         "instances endpoints customers  request us    token ns     tick us     list us  record us   state KiB"
     );
-    for (instances, endpoints, customers) in SIZES {
-        let mut world = World::new(instances, endpoints, customers);
-        let memory = memory();
-        let request = world.requests();
-        let token = world.tokens();
-        let tick = world.ticks();
-        let list = world.lists(instances, endpoints);
-        let record = world.records(customers);
+    for (instances, endpoints, customers) in SYSTEM_SIZES {
+        let mut simulation = Simulation::new(instances, endpoints, customers);
+        let memory_kib = resident_kib();
+        let request = simulation.seconds_per_request();
+        let token = simulation.seconds_per_token();
+        let tick = simulation.seconds_per_tick();
+        let list = simulation.seconds_per_list(instances, endpoints);
+        let record = simulation.seconds_per_record(customers);
         println!(
-            "{instances:>9} {endpoints:>9} {customers:>9} {:>11.2} {:>11.1} {:>11.1} {:>11.1} {:>10.2} {memory:>11}",
+            "{instances:>9} {endpoints:>9} {customers:>9} {:>11.2} {:>11.1} {:>11.1} {:>11.1} {:>10.2} {memory_kib:>11}",
             request * 1e6,
             token * 1e9,
             tick * 1e6,
@@ -53,52 +53,53 @@
     }
 }
 
-struct World {
-    now: u64,
-    out: Vec<Action>,
+struct Simulation {
+    now_ms: u64,
+    actions: Vec<Action>,
     state: State,
 }
 
-impl World {
+impl Simulation {
     fn new(instances: usize, endpoints: usize, customers: usize) -> Self {
         let state = State::new("entry-0", "domain-0", Limits::default(), 1);
-        let mut world = Self {
-            now: 1_000,
-            out: Vec::new(),
+        let mut simulation = Self {
+            now_ms: 1_000,
+            actions: Vec::new(),
             state,
         };
-        world.step(Event::Configured(Line {
+        simulation.step(Event::Configured(Line {
             data: Bytes::from_static(&[0; 300]),
             offset: 0,
-            record: first(customers),
+            record: initial_config(customers),
         }));
-        world.step(Event::Listed(members(endpoints), peers(instances)));
-        world.warm();
-        world
+        simulation.step(Event::Listed(members(endpoints), peers(instances)));
+        simulation.claim_endpoints();
+        simulation
     }
 
     fn clock(&self) -> (Time, Wall) {
         (
-            Time::from_micros(self.now * 1_000),
-            Wall(1_800_000_000_000 + self.now),
+            Time::from_micros(self.now_ms * 1_000),
+            Wall(1_800_000_000_000 + self.now_ms),
         )
     }
 
     fn step(&mut self, event: Event) {
         let (now, wall) = self.clock();
-        self.state.step(now, wall, event, &mut self.out);
+        self.state.step(now, wall, event, &mut self.actions);
     }
 
-    /// Lets this instance take every endpoint of its windows.
-    fn warm(&mut self) {
+    /// Runs 60 rounds of reports, ticks and confirmed appends, in which this instance claims the
+    /// endpoints of its subsets.
+    fn claim_endpoints(&mut self) {
         for _ in 0..60 {
-            self.now += 100;
+            self.now_ms += 100;
             let keys = self.state.endpoints.keys().collect::<Vec<_>>();
             for key in keys {
                 self.step(Event::Reported(key, report()));
             }
             self.step(Event::Tick);
-            let batches = self.out.drain(..).filter_map(|action| match action {
+            let batches = self.actions.drain(..).filter_map(|action| match action {
                 Action::Append(batch) => Some(batch),
                 _ => None,
             });
@@ -108,15 +109,15 @@
             let (now, _) = self.clock();
             self.step(Event::ConfigFresh(now));
         }
-        self.out.clear();
+        self.actions.clear();
     }
 
-    /// Seconds for one request from arrival to its end, without tokens.
-    fn requests(&mut self) -> f64 {
-        let begun = Instant::now();
-        for _ in 0..TIMES {
-            self.begin();
-            let sent = self.out.drain(..).find_map(|action| match action {
+    /// Cost of a request from arrival to completion, without tokens.
+    fn seconds_per_request(&mut self) -> f64 {
+        let start = Instant::now();
+        for _ in 0..REPETITIONS {
+            self.start_request();
+            let sent = self.actions.drain(..).find_map(|action| match action {
                 Action::Send { attempt, .. } => Some(attempt),
                 _ => None,
             });
@@ -129,12 +130,12 @@
                 status: 400,
             };
             self.step(Event::Answered(attempt, answer));
-            self.out.clear();
+            self.actions.clear();
         }
-        begun.elapsed().as_secs_f64() / f64::from(TIMES)
+        start.elapsed().as_secs_f64() / f64::from(REPETITIONS)
     }
 
-    fn begin(&mut self) {
+    fn start_request(&mut self) {
         let (now, wall) = self.clock();
         let arrival = Arrival {
             credential: credential(0),
@@ -145,53 +146,53 @@
                 prompt: 100,
             },
         };
-        self.state.arrive(now, wall, arrival, &mut self.out);
+        self.state.arrive(now, wall, arrival, &mut self.actions);
     }
 
-    /// Seconds for one token.
-    fn tokens(&mut self) -> f64 {
-        self.begin();
-        let sent = self.out.drain(..).find_map(|action| match action {
+    /// Cost of a token of a running stream.
+    fn seconds_per_token(&mut self) -> f64 {
+        self.start_request();
+        let sent = self.actions.drain(..).find_map(|action| match action {
             Action::Send { attempt, .. } => Some(attempt),
             _ => None,
         });
         let Some(attempt) = sent else {
             return f64::NAN;
         };
-        let begun = Instant::now();
-        for index in 0..TIMES * 50 {
+        let start = Instant::now();
+        for index in 0..REPETITIONS * 50 {
             self.step(Event::Token(attempt, index, Bytes::new()));
-            black_box(&self.out);
-            self.out.clear();
+            black_box(&self.actions);
+            self.actions.clear();
         }
-        begun.elapsed().as_secs_f64() / f64::from(TIMES * 50)
+        start.elapsed().as_secs_f64() / f64::from(REPETITIONS * 50)
     }
 
-    /// Seconds for one tick.
-    fn ticks(&mut self) -> f64 {
-        let begun = Instant::now();
-        for _ in 0..TIMES {
-            self.now += 20;
+    /// Cost of a timer tick.
+    fn seconds_per_tick(&mut self) -> f64 {
+        let start = Instant::now();
+        for _ in 0..REPETITIONS {
+            self.now_ms += 20;
             self.step(Event::Tick);
-            self.out.clear();
+            self.actions.clear();
         }
-        begun.elapsed().as_secs_f64() / f64::from(TIMES)
+        start.elapsed().as_secs_f64() / f64::from(REPETITIONS)
     }
 
-    /// Seconds for one reading of the instance list.
-    fn lists(&mut self, instances: usize, endpoints: usize) -> f64 {
-        let times = 20;
-        let begun = Instant::now();
-        for _ in 0..times {
+    /// Cost of applying the instance list.
+    fn seconds_per_list(&mut self, instances: usize, endpoints: usize) -> f64 {
+        let repetitions = 20;
+        let start = Instant::now();
+        for _ in 0..repetitions {
             self.step(Event::Listed(members(endpoints), peers(instances)));
-            self.out.clear();
+            self.actions.clear();
         }
-        begun.elapsed().as_secs_f64() / f64::from(times)
+        start.elapsed().as_secs_f64() / f64::from(repetitions)
     }
 
-    /// Seconds for one configuration record.
-    fn records(&mut self, customers: usize) -> f64 {
-        let begun = Instant::now();
+    /// Cost of applying a configuration record.
+    fn seconds_per_record(&mut self, customers: usize) -> f64 {
+        let start = Instant::now();
         for number in 0..200_usize {
             let name = number % customers;
             let item = item(record::Kind::Customer, &format!("customer-{name}"));
@@ -211,12 +212,12 @@
                 record,
             }));
         }
-        begun.elapsed().as_secs_f64() / 200.0
+        start.elapsed().as_secs_f64() / 200.0
     }
 }
 
 /// Resident memory of this process, in KiB.
-fn memory() -> u64 {
+fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
@@ -242,7 +243,7 @@
     }
 }
 
-fn first(customers: usize) -> Record {
+fn initial_config(customers: usize) -> Record {
     let mut changes = Vec::new();
     for number in 0..customers {
         changes.push(Change {
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -2,15 +2,15 @@
 
 use crate::prelude::*;
 
-/// Why a measurement could not be made.
+/// Why a measurement failed.
 #[derive(Debug)]
 pub enum Error {
-    /// An exchange failed.
+    /// An HTTP exchange failed.
     Exchange(endpoint::Error),
-    /// A file or process could not be used.
+    /// A file or process could not be read, written or started.
     Io(std::io::Error),
-    /// Something did not become ready.
-    Late(String),
+    /// The described condition was not met in time.
+    Timeout(String),
 }
 
 impl Display for Error {
@@ -18,7 +18,7 @@
         match self {
             Self::Exchange(error) => write!(f, "{error}"),
             Self::Io(error) => write!(f, "{error}"),
-            Self::Late(what) => write!(f, "not in time: {what}"),
+            Self::Timeout(condition) => write!(f, "timed out before {condition}"),
         }
     }
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,5 +1,6 @@
 //! Load tool and measurements, for development only.
 
+pub mod cluster;
 pub mod decide;
 pub mod domain;
 pub mod error;
@@ -9,4 +10,3 @@
 pub mod prelude;
 pub mod process;
 pub mod relay;
-pub mod setup;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -6,25 +6,25 @@
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 enum Command {
-    /// Whether a cold engine is overrun by six instances
+    /// Whether six instances overload a cold engine
     #[bpaf(command)]
     Cold,
-    /// What decisions cost at today's sizes and at full size
+    /// CPU time and memory of decisions, at small and large system sizes
     #[bpaf(command)]
     Decide,
-    /// How soon a failure domain taken out gets no more new work
+    /// Time until a disabled failure domain receives no new requests
     #[bpaf(command)]
     Domain,
-    /// What a daemon costs without a request
+    /// CPU time and memory of a daemon that serves no requests
     #[bpaf(command)]
     Idle,
-    /// What the claim adds to an order
+    /// Latency that the claim adds to an order
     #[bpaf(command)]
     Orders,
-    /// How long a stream waits after its connection fell silent
+    /// Time until a stream resumes after its connection stops delivering data
     #[bpaf(command)]
     Silence,
-    /// What relaying a stream costs
+    /// Latency, CPU time and memory of relaying a stream
     #[bpaf(command)]
     Relay {
         /// Tokens of each stream
@@ -46,8 +46,10 @@
             bench::decide::run();
             Ok(())
         }
-        (Ok(runtime), Command::Cold) => runtime.block_on(bench::faults::cold()),
-        (Ok(runtime), Command::Silence) => runtime.block_on(bench::faults::silence()),
+        (Ok(runtime), Command::Cold) => runtime.block_on(bench::faults::measure_cold_start()),
+        (Ok(runtime), Command::Silence) => {
+            runtime.block_on(bench::faults::measure_silent_connection())
+        }
         (Ok(runtime), Command::Domain) => runtime.block_on(bench::domain::run()),
         (Ok(runtime), Command::Idle) => runtime.block_on(bench::idle::run()),
         (Ok(runtime), Command::Orders) => runtime.block_on(bench::orders::run()),
--- a/crates/bench/src/orders.rs
+++ b/crates/bench/src/orders.rs
@@ -1,39 +1,40 @@
-//! What the claim adds to an order, against a lookup through the same daemons.
+//! Latency that the claim adds to an order, compared with a lookup through the same daemons.
 
 use {
-    crate::{prelude::*, process::get, setup::Setup},
+    crate::{cluster::Cluster, prelude::*, process::get_json},
     std::sync::{Arc, Mutex},
 };
 
-/// Orders a second, in turn; the log takes 300 appends a second.
-const RATES: [u32; 3] = [1, 100, 300];
+/// Rates of the series; the log accepts 300 appends per second.
+const CALLS_PER_SECOND: [u32; 3] = [1, 100, 300];
 
-/// Path at the service itself, past the daemons.
-const DIRECT: &str = "/lookup";
+/// Path of calls that go to the service directly.
+const DIRECT_PATH: &str = "/lookup";
 
-/// Length of each series.
-const SECONDS: u32 = 5;
+/// Duration of each series.
+const SERIES_SECONDS: u32 = 5;
 
-/// Measures and prints everything.
+/// Runs the measurement and prints one line per rate.
 ///
 /// # Errors
 ///
 /// A process cannot be started or reached.
 pub async fn run() -> Result<(), Error> {
-    let setup = Arc::new(Setup::start().await?);
-    // Warm every daemon's way to the service.
-    series(&setup, "/services/desk/lookup", 50).await?;
+    let cluster = Arc::new(Cluster::start().await?);
+    // Opens each daemon's connections to the service before the measurement.
+    run_series(&cluster, "/services/desk/lookup", 50).await?;
     println!(
         "rate/s  direct p50/p99 us   lookup p50/p99 us   order p50/p99 us   answered  appends/s"
     );
-    for rate in RATES {
-        let (direct, _) = series(&setup, DIRECT, rate).await?;
-        let (lookups, _) = series(&setup, "/services/desk/lookup", rate).await?;
-        let before = appends(&setup).await?;
-        let (orders, answered) = series(&setup, "/services/desk/orders", rate).await?;
-        let appends = (appends(&setup).await? - before) / u64::from(SECONDS);
+    for rate in CALLS_PER_SECOND {
+        let (direct, _) = run_series(&cluster, DIRECT_PATH, rate).await?;
+        let (lookups, _) = run_series(&cluster, "/services/desk/lookup", rate).await?;
+        let appends_before = append_count(&cluster).await?;
+        let (orders, answered) = run_series(&cluster, "/services/desk/orders", rate).await?;
+        let append_rate =
+            (append_count(&cluster).await? - appends_before) / u64::from(SERIES_SECONDS);
         println!(
-            "{rate:>6} {:>8} / {:>7} {:>9} / {:>7} {:>8} / {:>7} {answered:>10} {appends:>10}",
+            "{rate:>6} {:>8} / {:>7} {:>9} / {:>7} {:>8} / {:>7} {answered:>10} {append_rate:>10}",
             direct.value_at_quantile(0.5),
             direct.value_at_quantile(0.99),
             lookups.value_at_quantile(0.5),
@@ -45,40 +46,45 @@
     Ok(())
 }
 
-async fn appends(setup: &Setup) -> Result<u64, Error> {
-    let stats = get(&setup.client, &setup.log.address, "/control").await?;
+async fn append_count(cluster: &Cluster) -> Result<u64, Error> {
+    let stats = get_json(&cluster.client, &cluster.log.address, "/control").await?;
     Ok(stats["appends"].as_u64().unwrap_or_default())
 }
 
-/// Sends calls at a steady rate, through the daemons in turn.
-async fn series(setup: &Arc<Setup>, path: &str, rate: u32) -> Result<(Histogram<u64>, u32), Error> {
+/// Sends calls at a constant rate, alternating between the daemons; returns the latencies in
+/// microseconds and the number of responses with status 200.
+async fn run_series(
+    cluster: &Arc<Cluster>,
+    path: &str,
+    rate: u32,
+) -> Result<(Histogram<u64>, u32), Error> {
     let histogram = Histogram::new_with_max(60_000_000, 3).expect("the bounds are valid");
     let results = Arc::new(Mutex::new((histogram, 0)));
-    let mut ticks = tokio::time::interval(Duration::from_secs(1) / rate);
+    let mut interval = tokio::time::interval(Duration::from_secs(1) / rate);
     let mut tasks = Vec::new();
-    for number in 0..rate * SECONDS {
-        ticks.tick().await;
-        let (setup, results) = (Arc::clone(setup), Arc::clone(&results));
+    for number in 0..rate * SERIES_SECONDS {
+        interval.tick().await;
+        let (cluster, results) = (Arc::clone(cluster), Arc::clone(&results));
         let path = path.to_string();
         tasks.push(tokio::spawn(async move {
             let daemon = usize::from(number % 2 == 1);
-            let begun = Instant::now();
-            let mut request = setup.ask(daemon, &path, "x")?;
+            let start = Instant::now();
+            let mut request = cluster.build_request(daemon, &path, "x")?;
             let key = uuid::Uuid::now_v7().to_string();
             if let Ok(key) = key.parse() {
                 request.headers_mut().insert("idempotency-key", key);
             }
-            let address = if path == DIRECT {
-                &setup.service.address
+            let address = if path == DIRECT_PATH {
+                &cluster.service.address
             } else {
-                &setup.daemons[daemon].address
+                &cluster.daemons[daemon].address
             };
-            let reply = setup.client.send(address, request).await?;
+            let reply = cluster.client.send(address, request).await?;
             let answered = reply.status() == 200;
             reply.whole(1 << 20).await?;
-            let waited = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
+            let latency_us = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
             let mut results = results.lock().expect("no task panicked");
-            results.0.saturating_record(waited);
+            results.0.saturating_record(latency_us);
             results.1 += u32::from(answered);
             Ok::<_, Error>(())
         }));
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Daemons and stand-ins as processes of their own, on loopback.
+//! Starts daemons and stand-ins as child processes on loopback.
 
 use {
     crate::prelude::*,
@@ -10,31 +10,32 @@
     },
 };
 
-/// Caller key used in all measurements.
-pub const KEY: &str = "bench-key";
+/// API key that the requests of all measurements carry.
+pub const CALLER_KEY: &str = "bench-key";
 
-/// Signs the resume handles of measurements.
-const SECRET: &str = "1111111111111111111111111111111111111111111111111111111111111111";
+/// Signing secret of resume handles, hex-encoded.
+const HANDLE_SECRET: &str = "1111111111111111111111111111111111111111111111111111111111111111";
 
-/// Processor ticks per second that `/proc` counts in.
-const TICKS: f64 = 100.0;
+/// Unit of CPU times in `/proc/PID/stat` (`USER_HZ` on Linux).
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// A process that is killed when it is dropped.
+/// A child process; dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
-    /// Where it listens; for a daemon, where it listens for callers.
+    /// Listening address, `host:port`; for a daemon, that of the caller listener.
     pub address: String,
-    /// Where a daemon listens for operators.
-    pub operator: String,
+    /// Address of a daemon's operator listener; empty for a stand-in.
+    pub operator_address: String,
     child: Child,
 }
 
 impl Process {
-    /// Starts the shipped binary with these arguments.
+    /// Starts the `carawayhead` binary beside this executable and reads its addresses from the
+    /// first line of its output.
     ///
     /// # Errors
     ///
-    /// It cannot be started; `cargo build --release --workspace` builds it.
+    /// The binary cannot be started (`cargo build --release --workspace` builds it).
     pub fn start(arguments: &[String]) -> Result<Self, Error> {
         let binary = std::env::current_exe()?.with_file_name("carawayhead");
         let mut child = Command::new(binary)
@@ -46,22 +47,22 @@
         if let Some(output) = child.stdout.take() {
             BufReader::new(output).read_line(&mut line)?;
         }
-        let word = |prefix: &str| {
-            let found = line
+        let field = |prefix: &str| {
+            let value = line
                 .split_whitespace()
                 .find_map(|word| word.strip_prefix(prefix));
-            found.unwrap_or_default().to_string()
+            value.unwrap_or_default().to_string()
         };
-        let caller = word("caller=");
-        let plain = line.trim().strip_prefix("listening ").unwrap_or_default();
+        let caller_address = field("caller=");
+        let stand_in_address = line.trim().strip_prefix("listening ").unwrap_or_default();
         Ok(Self {
-            address: if caller.is_empty() {
-                plain.to_string()
+            address: if caller_address.is_empty() {
+                stand_in_address.to_string()
             } else {
-                caller
+                caller_address
             },
             child,
-            operator: word("operator="),
+            operator_address: field("operator="),
         })
     }
 
@@ -69,48 +70,52 @@
     ///
     /// # Errors
     ///
-    /// It cannot be started.
-    pub fn stand_in(kind: &str, rest: &[&str]) -> Result<Self, Error> {
+    /// The binary cannot be started.
+    pub fn stand_in(kind: &str, options: &[&str]) -> Result<Self, Error> {
         let mut arguments = vec!["stand-in".to_string(), kind.to_string()];
-        arguments.extend(rest.iter().map(ToString::to_string));
+        arguments.extend(options.iter().map(ToString::to_string));
         Self::start(&arguments)
     }
 
-    /// Starts a daemon against a log and an instance list.
+    /// Starts a daemon that uses the log and the instance list at these addresses.
     ///
     /// # Errors
     ///
-    /// It cannot be started.
+    /// The settings file cannot be written, or the binary cannot be started.
     pub fn daemon(name: &str, domain: &str, log: &str, list: &str) -> Result<Self, Error> {
-        let folder = std::env::temp_dir().join(format!("carawayhead-bench-{}", std::process::id()));
-        fs::create_dir_all(&folder)?;
-        let file = folder.join(format!("{name}.toml"));
+        let directory =
+            std::env::temp_dir().join(format!("carawayhead-bench-{}", std::process::id()));
+        fs::create_dir_all(&directory)?;
+        let path = directory.join(format!("{name}.toml"));
         let settings = format!(
             "[instance]\nname = \"{name}\"\ndomain = \"{domain}\"\n\
-             [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{SECRET}\"\n\
+             [caller]\nlisten = \"127.0.0.1:0\"\nhandle_secret = \"{HANDLE_SECRET}\"\n\
              [operator]\nlisten = \"127.0.0.1:0\"\n\
              [platform]\nlog = \"{log}\"\nlist = \"{list}\"\nlist_interval = \"200ms\"\n"
         );
-        fs::write(&file, settings)?;
-        let file = file.display().to_string();
-        Self::start(&["serve".to_string(), "--settings".to_string(), file])
+        fs::write(&path, settings)?;
+        let path = path.display().to_string();
+        Self::start(&["serve".to_string(), "--settings".to_string(), path])
     }
 
-    /// Processor time used so far, user and system, in seconds.
+    /// CPU time used so far, user and system, in seconds.
     ///
     /// # Errors
     ///
     /// The process has ended.
-    pub fn processor(&self) -> Result<f64, Error> {
+    pub fn cpu_seconds(&self) -> Result<f64, Error> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields = stat.rsplit(')').next().unwrap_or_default();
         let fields = fields.split_whitespace().collect::<Vec<_>>();
-        let ticks = |place: usize| {
+        let ticks = |index: usize| {
             fields
-                .get(place)
+                .get(index)
                 .and_then(|field| field.parse::<f64>().ok())
         };
-        Ok((ticks(11).unwrap_or_default() + ticks(12).unwrap_or_default()) / TICKS)
+        Ok(
+            (ticks(11).unwrap_or_default() + ticks(12).unwrap_or_default())
+                / CLOCK_TICKS_PER_SECOND,
+        )
     }
 
     /// Resident memory in KiB.
@@ -118,7 +123,7 @@
     /// # Errors
     ///
     /// The process has ended.
-    pub fn memory(&self) -> Result<u64, Error> {
+    pub fn resident_kib(&self) -> Result<u64, Error> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let number = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
@@ -133,16 +138,16 @@
             .kill()
             .and_then(|()| self.child.wait().map(|_status| ()))
         {
-            eprintln!("a process could not be ended: {error}");
+            eprintln!("could not kill or reap a child process: {error}");
         }
     }
 }
 
-/// Posts a body and expects success.
+/// Posts a JSON body and discards the response, whatever its status.
 ///
 /// # Errors
 ///
-/// The other side cannot be reached.
+/// The request fails, or the response exceeds 1 MiB.
 pub async fn post(client: &Client, address: &str, path: &str, body: &str) -> Result<(), Error> {
     let request = Request::post(path)
         .header("host", address)
@@ -152,21 +157,21 @@
     Ok(())
 }
 
-/// Puts a row into an instance list.
+/// Registers a row in the instance list.
 ///
 /// # Errors
 ///
-/// The list cannot be reached.
+/// The request to the list fails.
 pub async fn register(client: &Client, list: &Process, row: &Row) -> Result<(), Error> {
     post(client, &list.address, "/instances", &json!(row).to_string()).await
 }
 
-/// The JSON at an address.
+/// Fetches JSON; a body that does not parse yields null.
 ///
 /// # Errors
 ///
-/// The other side cannot be reached.
-pub async fn get(client: &Client, address: &str, path: &str) -> Result<Value, Error> {
+/// The request fails, or the response exceeds 16 MiB.
+pub async fn get_json(client: &Client, address: &str, path: &str) -> Result<Value, Error> {
     let request = Request::get(path)
         .header("host", address)
         .body(Full::default())?;
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -1,43 +1,43 @@
-//! What relaying costs: the daemon against the stand-in directly, in one run.
+//! Cost of relaying streams: the daemon compared with direct requests to the engines.
 
 use {
     crate::{
         prelude::*,
-        process::{KEY, get, post, register},
+        process::{CALLER_KEY, get_json, post, register},
     },
     standin::list::Row,
     std::sync::{Arc, Mutex},
 };
 
-/// Engines that share the streams.
-const ENGINES: usize = 4;
+/// Engines that serve the streams.
+const ENGINE_COUNT: usize = 4;
 
-/// Streams at once, in turn.
-const STREAMS: [usize; 3] = [1, 64, 1000];
+/// Concurrent streams of each run.
+const CONCURRENT_STREAMS: [usize; 3] = [1, 64, 1000];
 
-/// Figures of one series of streams.
+/// Statistics of one run of streams.
 #[derive(Debug)]
-pub struct Series {
+pub struct StreamStats {
     /// Time to the first token, in microseconds.
-    pub first: Histogram<u64>,
-    /// Time between a token's leaving the engine and its arrival, in microseconds.
-    pub passage: Histogram<u64>,
+    pub ttft_us: Histogram<u64>,
+    /// Time from the engine's writing of a token to its arrival, in microseconds.
+    pub latency_us: Histogram<u64>,
     /// Tokens received.
     pub tokens: u64,
 }
 
-impl Series {
+impl StreamStats {
     fn new() -> Self {
         let histogram = || Histogram::new_with_max(60_000_000, 3).expect("the bounds are valid");
         Self {
-            first: histogram(),
-            passage: histogram(),
+            ttft_us: histogram(),
+            latency_us: histogram(),
             tokens: 0,
         }
     }
 }
 
-/// Measures and prints everything.
+/// Runs the measurement and prints one line per path and number of streams.
 ///
 /// # Errors
 ///
@@ -46,10 +46,10 @@
     let client = Client::new(Duration::from_secs(5));
     let list = Process::stand_in("list", &["--lag-ms=0"])?;
     let log = Process::stand_in("log", &[])?;
-    let spread = Duration::from_micros(u64::from(step));
+    let start_spread = Duration::from_micros(u64::from(step));
     let step = format!("--step-base={step}");
     let mut engines = Vec::new();
-    for number in 0..ENGINES {
+    for number in 0..ENGINE_COUNT {
         let flags = [
             "--model=m",
             "--batch=4000",
@@ -63,78 +63,90 @@
         register(&client, &list, &row).await?;
         engines.push(engine);
     }
-    post(&client, &log.address, "/streams/config/records", &record()).await?;
+    post(
+        &client,
+        &log.address,
+        "/streams/config/records",
+        &config_record(),
+    )
+    .await?;
     let daemon = Process::daemon("entry", "d", &log.address, &list.address)?;
     let row = Row::live("entry", "entry", &daemon.address, "d", "");
     register(&client, &list, &row).await?;
-    ready(&client, &daemon).await?;
-    let direct = engines
+    wait_until_ready(&client, &daemon).await?;
+    let engine_addresses = engines
         .iter()
         .map(|engine| engine.address.clone())
         .collect::<Vec<_>>();
-    let through = vec![daemon.address.clone()];
+    let daemon_addresses = vec![daemon.address.clone()];
     println!(
-        "streams  path    tokens  first p50/p99 us     passage p50/p99 us   processor us/token  memory KiB/stream"
+        "streams  path    tokens  TTFT p50/p99 us      latency p50/p99 us         CPU us/token  memory KiB/stream"
     );
-    for streams in STREAMS {
-        measure(&client, &direct, streams, tokens, spread).await?;
-        let series = measure(&client, &direct, streams, tokens, spread).await?;
-        print(streams, "direct", &series, None);
-        let (used, held) = (daemon.processor()?, daemon.memory()?);
-        let watched = watch(&daemon, held);
-        let measured = measure(&client, &through, streams, tokens, spread);
-        let (series, most) = tokio::join!(measured, watched);
-        let series = series?;
-        let processor = (daemon.processor()? - used) * 1e6 / count(series.tokens);
-        let memory = count(most.saturating_sub(held)) / count(streams as u64);
-        print(streams, "daemon", &series, Some((processor, memory)));
+    for streams in CONCURRENT_STREAMS {
+        run_streams(&client, &engine_addresses, streams, tokens, start_spread).await?;
+        let stats = run_streams(&client, &engine_addresses, streams, tokens, start_spread).await?;
+        print_row(streams, "direct", &stats, None);
+        let (cpu_before, kib_before) = (daemon.cpu_seconds()?, daemon.resident_kib()?);
+        let peak_future = peak_resident_kib(&daemon, kib_before);
+        let streams_future = run_streams(&client, &daemon_addresses, streams, tokens, start_spread);
+        let (stats, peak_kib) = tokio::join!(streams_future, peak_future);
+        let stats = stats?;
+        let cpu_us_per_token = (daemon.cpu_seconds()? - cpu_before) * 1e6 / to_f64(stats.tokens);
+        let kib_per_stream = to_f64(peak_kib.saturating_sub(kib_before)) / to_f64(streams as u64);
+        print_row(
+            streams,
+            "daemon",
+            &stats,
+            Some((cpu_us_per_token, kib_per_stream)),
+        );
     }
-    let status = get(&client, &daemon.operator, "/status").await?;
-    println!("violations {}", status["invariant_violations"]);
+    let status = get_json(&client, &daemon.operator_address, "/status").await?;
+    println!("invariant violations {}", status["invariant_violations"]);
     Ok(())
 }
 
-/// A count that is far below 2^52.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts of one run fit the mantissa"
 )]
-const fn count(number: u64) -> f64 {
+const fn to_f64(number: u64) -> f64 {
     number as f64
 }
 
-/// The largest memory of the daemon within the next two seconds, in KiB.
-async fn watch(daemon: &Process, held: u64) -> u64 {
-    let mut most = held;
+/// The daemon's peak resident memory within the next two seconds, in KiB.
+async fn peak_resident_kib(daemon: &Process, kib_before: u64) -> u64 {
+    let mut peak_kib = kib_before;
     for _ in 0..20 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        most = most.max(daemon.memory().unwrap_or_default());
+        peak_kib = peak_kib.max(daemon.resident_kib().unwrap_or_default());
     }
-    most
+    peak_kib
 }
 
-fn print(streams: usize, path: &str, series: &Series, cost: Option<(f64, f64)>) {
-    let cost = cost.map(|(processor, memory)| format!("{processor:>18.2} {memory:>18.1}"));
+fn print_row(streams: usize, path: &str, stats: &StreamStats, cost: Option<(f64, f64)>) {
+    let cost = cost.map(|(cpu_us_per_token, kib_per_stream)| {
+        format!("{cpu_us_per_token:>18.2} {kib_per_stream:>18.1}")
+    });
     println!(
         "{streams:>7}  {path:<7} {:>6}  {:>9} / {:>8}  {:>9} / {:>8}  {}",
-        series.tokens,
-        series.first.value_at_quantile(0.5),
-        series.first.value_at_quantile(0.99),
-        series.passage.value_at_quantile(0.5),
-        series.passage.value_at_quantile(0.99),
+        stats.tokens,
+        stats.ttft_us.value_at_quantile(0.5),
+        stats.ttft_us.value_at_quantile(0.99),
+        stats.latency_us.value_at_quantile(0.5),
+        stats.latency_us.value_at_quantile(0.99),
         cost.unwrap_or_default(),
     );
 }
 
-fn record() -> String {
-    let hash = blake3_hex(KEY);
-    let facts = (0..ENGINES).map(|number| {
+fn config_record() -> String {
+    let key_hash = blake3_hex(CALLER_KEY);
+    let endpoint_settings = (0..ENGINE_COUNT).map(|number| {
         format!("[endpoint.engine-{number}]\ncold_limit = 100000\ncold_time = \"0ms\"\n")
     });
     format!(
-        "schema = 1\n[customer.bench]\nkey_hashes = [\"{hash}\"]\n\
+        "schema = 1\n[customer.bench]\nkey_hashes = [\"{key_hash}\"]\n\
          [route.m]\nversions = [{{ model = \"m\" }}]\n{}",
-        facts.collect::<String>()
+        endpoint_settings.collect::<String>()
     )
 }
 
@@ -143,78 +155,82 @@
 }
 
 /// Waits until the daemon can send to every engine.
-async fn ready(client: &Client, daemon: &Process) -> Result<(), Error> {
+async fn wait_until_ready(client: &Client, daemon: &Process) -> Result<(), Error> {
     for _ in 0..200 {
-        let status = get(client, &daemon.operator, "/status").await?;
-        if status["usable"] == json!(ENGINES) {
+        let status = get_json(client, &daemon.operator_address, "/status").await?;
+        if status["usable"] == json!(ENGINE_COUNT) {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    Err(Error::Late("the daemon is ready".to_string()))
+    Err(Error::Timeout(
+        "the daemon reported every engine as usable".to_string(),
+    ))
 }
 
-/// Runs streams at once, spread over the addresses, and collects their figures.
-async fn measure(
+/// Runs concurrent streams, distributed over the addresses, and collects their statistics.
+async fn run_streams(
     client: &Client,
     addresses: &[String],
     streams: usize,
     tokens: u32,
-    spread: Duration,
-) -> Result<Series, Error> {
-    let series = Arc::new(Mutex::new(Series::new()));
+    start_spread: Duration,
+) -> Result<StreamStats, Error> {
+    let stats = Arc::new(Mutex::new(StreamStats::new()));
     let mut tasks = Vec::new();
     for number in 0..streams {
-        let (client, series) = (client.clone(), Arc::clone(&series));
+        let (client, stats) = (client.clone(), Arc::clone(&stats));
         let address = addresses[number % addresses.len()].clone();
         tasks.push(tokio::spawn(async move {
-            stream(&client, &address, tokens, &series).await
+            receive_stream(&client, &address, tokens, &stats).await
         }));
-        // Spread the starts over one step, as arrivals of real callers are.
-        tokio::time::sleep(spread / u32::try_from(streams).unwrap_or(1)).await;
+        // Staggers the starts over one token interval, so that the streams do not run in step.
+        tokio::time::sleep(start_spread / u32::try_from(streams).unwrap_or(1)).await;
     }
     for task in tasks {
         task.await.map_err(std::io::Error::other)??;
     }
-    let series = std::mem::replace(
-        &mut *series.lock().expect("no task panicked"),
-        Series::new(),
+    let stats = std::mem::replace(
+        &mut *stats.lock().expect("no task panicked"),
+        StreamStats::new(),
     );
-    Ok(series)
+    Ok(stats)
 }
 
-async fn stream(
+async fn receive_stream(
     client: &Client,
     address: &str,
     tokens: u32,
-    series: &Mutex<Series>,
+    stats: &Mutex<StreamStats>,
 ) -> Result<(), Error> {
     let body = json!({"model": "m", "prompt": format!("tokens={tokens}"), "stream": true});
     let request = Request::post("/v1/completions")
         .header("host", address)
-        .header("authorization", format!("Bearer {KEY}"))
+        .header("authorization", format!("Bearer {CALLER_KEY}"))
         .header("content-type", "application/json")
         .header("x-request-id", format!("{:032x}", rand::random::<u128>()))
         .body(Full::new(Bytes::from(body.to_string())))?;
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut reply = client.send(address, request).await?;
     let mut parser = Parser::default();
-    let mut first = true;
+    let mut is_first = true;
     while let Some(part) = reply.part().await? {
-        let now = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let now = u64::try_from(now.as_micros()).unwrap_or(u64::MAX);
-        let mut series = series.lock().expect("no task panicked");
+        let now_us = u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX);
+        let mut stats = stats.lock().expect("no task panicked");
         for event in parser.feed(part)? {
-            let Some(sent) = sent(&event.data) else {
+            let Some(sent_at_us) = sent_at_us(&event.data) else {
                 continue;
             };
-            series.tokens += 1;
-            series.passage.saturating_record(now.saturating_sub(sent));
-            if std::mem::take(&mut first) {
-                let waited = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
-                series.first.saturating_record(waited);
+            stats.tokens += 1;
+            stats
+                .latency_us
+                .saturating_record(now_us.saturating_sub(sent_at_us));
+            if std::mem::take(&mut is_first) {
+                let elapsed_us = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
+                stats.ttft_us.saturating_record(elapsed_us);
             }
         }
     }
@@ -222,10 +238,10 @@
     Ok(())
 }
 
-/// When the engine wrote a token, in microseconds since the Unix epoch.
-fn sent(data: &[u8]) -> Option<u64> {
+/// When the engine wrote the token, in microseconds since the Unix epoch.
+fn sent_at_us(data: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(data).ok()?;
-    let (_, rest) = text.split_once("\"sent_us\":")?;
-    let digits = rest.split(',').next()?;
+    let (_, value) = text.split_once("\"sent_us\":")?;
+    let digits = value.split(',').next()?;
     digits.parse().ok()
 }
