--- a/model/freshness.pml
+++ b/model/freshness.pml
@@ -1,133 +1,137 @@
 /*
- * Whether a key can be used long after it was taken away.
+ * Revocation of a key: no instance accepts it later than REVOCATION_BOUND afterwards.
  *
- * An operator takes a key away at some time. Instance 0 reads the store; the answer may lie
- * in a buffer for as long as the instance is frozen or cut off. Each further instance hears
- * from the one before it how old that one's knowledge is, with the last number that it has
- * said to that one; word, number and records are each late by any time, and records may be
- * lost. All use the key as long as they do not know better and their knowledge is not older
- * than USED. With INSTANCES 3 the second one is an aggregator and the third its member.
+ * An operator revokes the key at some time. Instance 0 reads the store; the response may be
+ * buffered for as long as the instance is suspended or disconnected. Each further instance
+ * receives watermarks from its predecessor: the age of that one's knowledge, with an echo of
+ * the last timestamp that the predecessor received from it. Watermarks, timestamps and
+ * records are delayed by any time, and records may be lost. An instance accepts the key while
+ * it has not seen the revocation and its knowledge is not older than MAX_KNOWLEDGE_AGE. With
+ * INSTANCES 3 the second one is an aggregator and the third its member.
  *
- * Seeded faults: ARRIVAL counts the reader's knowledge from the arrival of the answer,
- * WORD_ARRIVAL the fellow's from the arrival of the word, NO_POSITION lets a word prove
- * knowledge of records that did not arrive.
+ * Seeded faults: RESPONSE_ARRIVAL dates the reader's knowledge from the arrival of the
+ * response, WATERMARK_ARRIVAL the peer's from the arrival of the watermark, and NO_POSITION
+ * lets a watermark confirm records that have not arrived.
  */
 
-#ifndef END
-#define END 5         /* time runs from 0 to here */
+#ifndef END_TIME
+#define END_TIME 5  /* time runs from 0 to here */
 #endif
 #ifndef INSTANCES
 #define INSTANCES 2
 #endif
-#define USED 1      /* knowledge up to this age is used */
-#define ALLOWED 1   /* a key may be used so long after it was taken away */
+#define MAX_KNOWLEDGE_AGE 1  /* an instance accepts the key up to this age of its knowledge */
+#define REVOCATION_BOUND 1   /* the key may be accepted for this long after its revocation */
 
 #define max(a, b) ((a) > (b) -> (a) : (b))
-/* A request under the key reaches instance i. */
-#define use(i) !knows[i] && now - proven[i] <= USED -> assert(!taken || now - taken_at <= ALLOWED)
-#define less(a, b) ((a) > (b) -> (a) - (b) : 0)
+/* A request with the key reaches instance i. */
+#define accept_key(i) !revocation_seen[i] && now - confirmed_at[i] <= MAX_KNOWLEDGE_AGE -> \
+       assert(!revoked || now - revoked_at <= REVOCATION_BOUND)
+#define saturating_sub(a, b) ((a) > (b) -> (a) - (b) : 0)
 
 byte now = 0;
-bool taken = false;
-byte taken_at = 0;
+bool revoked = false;
+byte revoked_at = 0;
 
-bool knows[INSTANCES];   /* that the key was taken away */
-byte proven[INSTANCES];  /* knowledge was complete then; 0: the start */
+bool revocation_seen[INSTANCES];  /* instance i has seen the revocation */
+byte confirmed_at[INSTANCES];     /* time at which its knowledge was complete; 0: the start */
 
-bool answer = false;     /* the store's answer, on its way to the reader */
-byte asked;
-bool answer_taken;
+bool response_in_flight = false;  /* the store's response to the reader */
+byte requested_at;
+bool response_revoked;
 
-/* What lies between an instance and the one before it, by the number of the later one. */
-byte number[INSTANCES];  /* its own time, on its way to the one before */
-byte echo[INSTANCES];    /* the last number that the one before heard */
+/* Messages between an instance and its predecessor, indexed by the instance. */
+byte timestamp[INSTANCES];  /* its clock, in flight to the predecessor */
+byte echo[INSTANCES];       /* the last timestamp that the predecessor received */
 
-bool word[INSTANCES];    /* the word of the one before, on its way */
-byte word_age[INSTANCES];
-byte word_echo[INSTANCES];
-bool word_taken[INSTANCES];
-bool records[INSTANCES]; /* the record itself, on its way */
+bool watermark_in_flight[INSTANCES];  /* the predecessor's watermark is in flight */
+byte watermark_age[INSTANCES];
+byte watermark_echo[INSTANCES];
+bool watermark_revoked[INSTANCES];
+bool record_in_flight[INSTANCES];  /* the revocation record is in flight */
 
-/* Instance i tells the one behind it what it knows. */
-#define say(i) atomic { !word[i + 1] -> word[i + 1] = true; \
-       word_age[i + 1] = now - proven[i]; word_echo[i + 1] = echo[i + 1]; \
-       word_taken[i + 1] = knows[i] }
-#define hear_number(i) atomic { echo[i + 1] = number[i + 1] }
+/* Instance i sends its watermark to its successor. */
+#define send_watermark(i) atomic { !watermark_in_flight[i + 1] -> \
+       watermark_in_flight[i + 1] = true; \
+       watermark_age[i + 1] = now - confirmed_at[i]; watermark_echo[i + 1] = echo[i + 1]; \
+       watermark_revoked[i + 1] = revocation_seen[i] }
+#define receive_timestamp(i) atomic { echo[i + 1] = timestamp[i + 1] }
 
 active proctype clock() {
   do
-  :: now < END -> now++
-  :: now == END -> break
+  :: now < END_TIME -> now++
+  :: now == END_TIME -> break
   od
 }
 
 active proctype operator() {
-  atomic { taken = true; taken_at = now }
+  atomic { revoked = true; revoked_at = now }
 }
 
 active proctype reader() {
   do
-  :: atomic { use(0) }
-  :: atomic { !answer -> answer = true; asked = now; answer_taken = taken }
-  :: atomic { answer -> answer = false;
-       records[1] = records[1] || (answer_taken && !knows[0]);
-       knows[0] = knows[0] || answer_taken;
-#ifdef ARRIVAL
-       proven[0] = now
+  :: atomic { accept_key(0) }
+  :: atomic { !response_in_flight -> response_in_flight = true; requested_at = now;
+       response_revoked = revoked }
+  :: atomic { response_in_flight -> response_in_flight = false;
+       record_in_flight[1] = record_in_flight[1] || (response_revoked && !revocation_seen[0]);
+       revocation_seen[0] = revocation_seen[0] || response_revoked;
+#ifdef RESPONSE_ARRIVAL
+       confirmed_at[0] = now
 #else
-       proven[0] = max(proven[0], asked)
+       confirmed_at[0] = max(confirmed_at[0], requested_at)
 #endif
      }
-  :: hear_number(0)
-  :: say(0)
-  :: now == END -> break
+  :: receive_timestamp(0)
+  :: send_watermark(0)
+  :: now == END_TIME -> break
   od
 }
 
-proctype fellow(byte i) {
+proctype peer(byte i) {
   do
-  :: atomic { use(i) }
-  :: atomic { number[i] = now }
-  :: atomic { records[i] -> records[i] = false;
+  :: atomic { accept_key(i) }
+  :: atomic { timestamp[i] = now }
+  :: atomic { record_in_flight[i] -> record_in_flight[i] = false;
 #if INSTANCES > 2
        if
-       :: i == 1 -> records[2] = records[2] || !knows[1]
+       :: i == 1 -> record_in_flight[2] = record_in_flight[2] || !revocation_seen[1]
        :: else -> skip
        fi;
 #endif
-       knows[i] = true }
-  :: atomic { records[i] -> records[i] = false }
-  :: atomic { word[i] -> word[i] = false;
+       revocation_seen[i] = true }
+  :: atomic { record_in_flight[i] -> record_in_flight[i] = false }
+  :: atomic { watermark_in_flight[i] -> watermark_in_flight[i] = false;
        if
 #ifndef NO_POSITION
-       :: word_taken[i] && !knows[i] -> skip
+       :: watermark_revoked[i] && !revocation_seen[i] -> skip
 #endif
        :: else ->
-#ifdef WORD_ARRIVAL
-          proven[i] = max(proven[i], less(now, word_age[i]))
+#ifdef WATERMARK_ARRIVAL
+          confirmed_at[i] = max(confirmed_at[i], saturating_sub(now, watermark_age[i]))
 #else
-          proven[i] = max(proven[i], less(word_echo[i], word_age[i]))
+          confirmed_at[i] = max(confirmed_at[i], saturating_sub(watermark_echo[i], watermark_age[i]))
 #endif
        fi
      }
-  :: now == END -> break
+  :: now == END_TIME -> break
   od
 }
 
 #if INSTANCES > 2
-/* What the aggregator says to its member, beside what it hears itself. */
+/* The sending side of the aggregator; it receives as a peer. */
 active proctype aggregator() {
   do
-  :: hear_number(1)
-  :: say(1)
-  :: now == END -> break
+  :: receive_timestamp(1)
+  :: send_watermark(1)
+  :: now == END_TIME -> break
   od
 }
 #endif
 
 init {
-  run fellow(1);
+  run peer(1);
 #if INSTANCES > 2
-  run fellow(2)
+  run peer(2)
 #endif
 }
--- a/model/orders.pml
+++ b/model/orders.pml
@@ -1,53 +1,53 @@
-/* The order protocol: claims of one key in an append-only log.
+/* Order protocol: claims of one idempotency key in an append-only log.
  *
- * Each request claims the key before it sends, reads the log up to its own claim
- * and sends only if the first claim that was not given up is its own. An append
- * may be answered, or its answer lost while it takes effect now, later or never;
- * it is then appended again. A request may pause anywhere (the scheduler may let
- * it stand), may give up before it sends, and may die. Callers come back through
- * another request. Checked: the order runs at most once, and a request that says
- * "not run" has not sent and never does.
+ * Each request appends a claim of the key, reads the log up to its own claim and
+ * sends only if the first claim that was not voided is its own. The response to an
+ * append may be lost while the append takes effect now, later or never; the request
+ * then appends again. A request may pause anywhere, may give up before it sends, and
+ * may crash. A caller's retry is another request. Checked: the order runs at most
+ * once, and a request that reports "not run" has not sent and never does.
  */
 
 #ifndef REQUESTS
 #define REQUESTS 3
 #endif
-#ifndef TRIES
-#define TRIES 2     /* appends of a claim whose answer is lost */
+#ifndef MAX_APPENDS
+#define MAX_APPENDS 2   /* appends of a claim per request, if responses are lost */
 #endif
-#define LOG_MAX 16
-#define NOBODY 255
+#define LOG_CAPACITY 16
+#define NO_HOLDER 255
 
-/* Seeded faults: a later claim takes a held key; a held key lapses like a lease. */
+/* Seeded faults: LAST_WINS lets a later claim acquire a held key; LEASE lets a held key
+ * expire; SEND_WITHOUT_READING and SEND_AFTER_VOID send without holding the key. */
 #ifdef LAST_WINS
-#define TAKES(o) (!voided[o])
+#define CAN_ACQUIRE(claim) (!voided[claim])
 #else
-#define TAKES(o) (holder == NOBODY && !voided[o])
+#define CAN_ACQUIRE(claim) (holder == NO_HOLDER && !voided[claim])
 #endif
 
-/* An entry is a claim of request n (n), or its giving up (n + 100). */
+/* Log record n is the claim of request n; n + VOID withdraws it. */
 #define VOID 100
 
-byte log[LOG_MAX] = NOBODY;
+byte log[LOG_CAPACITY] = NO_HOLDER;
 byte length = 0;
-bit delayed[REQUESTS];    /* a copy of the claim is still on its way */
+bit in_flight[REQUESTS];  /* a copy of the claim is in flight */
 byte runs = 0;
 bit sent[REQUESTS];
-bit refused[REQUESTS];
+bit reported_not_run[REQUESTS];
 
-inline append(entry) {
-    assert(length < LOG_MAX);
-    log[length] = entry;
+inline append(record) {
+    assert(length < LOG_CAPACITY);
+    log[length] = record;
     length++
 }
 
-/* Reads the log to its end: who holds the key, and whether the own claim was seen.
- * What was read is a prefix of the log, so reading at once loses no behaviour: an
- * earlier read is this read at an earlier time. */
+/* Reads the log to its end: which request holds the key, and whether this request's
+ * claim is in it. A request that has read only a prefix behaves like one that read the
+ * whole log earlier, so the atomic read loses no behaviour. */
 inline read_log() {
     d_step {
-        holder = NOBODY;
-        known = 0;
+        holder = NO_HOLDER;
+        claim_seen = 0;
         i = 0;
         do
         :: i < REQUESTS -> voided[i] = 0; i++
@@ -60,16 +60,16 @@
             :: log[i] >= VOID ->
                 voided[log[i] - VOID] = 1;
                 if
-                :: holder == log[i] - VOID -> holder = NOBODY
+                :: holder == log[i] - VOID -> holder = NO_HOLDER
                 :: else -> skip
                 fi
             :: else ->
                 if
-                :: log[i] == me -> known = 1
+                :: log[i] == me -> claim_seen = 1
                 :: else -> skip
                 fi;
                 if
-                :: TAKES(log[i]) -> holder = log[i]
+                :: CAN_ACQUIRE(log[i]) -> holder = log[i]
                 :: else -> skip
                 fi
             fi;
@@ -86,20 +86,21 @@
 }
 
 proctype Request(byte me) {
-    byte holder = NOBODY;
-    bit known = 0;
+    byte holder = NO_HOLDER;
+    bit claim_seen = 0;
     bit voided[REQUESTS];
     byte i = 0;
-    byte tries = 0;
+    byte appends = 0;
 
-claiming:
-    /* Claim: the answer comes, or is lost with or without effect, now or later. */
+append_claim:
+    /* The append succeeds, or its response is lost and it takes effect now, later or
+     * never. */
     atomic {
-        tries++;
+        appends++;
         if
         :: append(me)
-        :: append(me); delayed[me] = 1
-        :: delayed[me] = 1
+        :: append(me); in_flight[me] = 1
+        :: in_flight[me] = 1
         :: skip
         fi
     };
@@ -107,59 +108,60 @@
     do
     :: read_log();
         if
-        :: (known && holder == me) -> break
+        :: (claim_seen && holder == me) -> break
 #ifdef SEND_WITHOUT_READING
-        :: !known -> break
+        :: !claim_seen -> break
 #endif
-        :: (known && holder != me && holder != NOBODY) -> goto lost
+        :: (claim_seen && holder != me && holder != NO_HOLDER) -> goto held_by_other
 #ifdef LEASE
-        :: known -> break                    /* the other's lease has lapsed */
+        :: claim_seen -> break                 /* the holder's lease has expired */
 #endif
-        :: (!known && tries < TRIES) -> goto claiming
-        :: goto giving_up                    /* deadline, or the caller left */
-        :: goto dead                         /* the instance dies */
+        :: (!claim_seen && appends < MAX_APPENDS) -> goto append_claim
+        :: goto give_up                     /* deadline, or the caller disconnected */
+        :: goto finished                    /* the instance crashes */
         fi
     od;
 
-    /* The key is held for good: no pause here can let another request in. */
+    /* A held key never expires, so a pause here cannot let another request acquire it. */
     if
-    :: goto dead
-    :: goto giving_up
-    :: atomic { sent[me] = 1; runs++; assert(runs <= 1); goto dead }
+    :: goto finished
+    :: goto give_up
+    :: atomic { sent[me] = 1; runs++; assert(runs <= 1); goto finished }
     fi;
 
-giving_up:
+give_up:
 #ifdef SEND_AFTER_VOID
     if
-    :: (known && holder == me) ->
+    :: (claim_seen && holder == me) ->
         append(me + VOID);
-        atomic { sent[me] = 1; runs++; assert(runs <= 1); goto dead }
+        atomic { sent[me] = 1; runs++; assert(runs <= 1); goto finished }
     :: else -> skip
     fi;
 #endif
-    atomic { append(me + VOID); refused[me] = 1; goto dead };
+    atomic { append(me + VOID); reported_not_run[me] = 1; goto finished };
 
-lost:
-    /* Another claim holds the key: wait for its end, or say that it may have run. */
-    atomic { append(me + VOID); goto dead };
+held_by_other:
+    /* Another claim holds the key: the request waits for its result, or reports that
+     * the order may have run. */
+    atomic { append(me + VOID); goto finished };
 
-dead:
-    assert(!(sent[me] && refused[me]))
+finished:
+    assert(!(sent[me] && reported_not_run[me]))
 }
 
-/* A delayed copy of a claim arrives at any time, or never. */
+/* An in-flight copy of a claim arrives at any time, or never. */
 proctype Network(byte owner) {
 end:
     do
-    :: atomic { delayed[owner] -> append(owner); delayed[owner] = 0 }
+    :: atomic { in_flight[owner] -> append(owner); in_flight[owner] = 0 }
     od
 }
 
 init {
-    byte n = 0;
+    byte request = 0;
     atomic {
         do
-        :: n < REQUESTS -> run Request(n); run Network(n); n++
+        :: request < REQUESTS -> run Request(request); run Network(request); request++
         :: else -> break
         od
     }
