--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -49,8 +49,8 @@
             .await?;
         let mut parser = Parser::default();
         let (mut tokens, mut last_event, mut longest_gap) = (0, Instant::now(), Duration::ZERO);
-        while let Some(part) = reply.part().await? {
-            tokens += parser.feed(part)?.len();
+        while let Some(chunk) = reply.part().await? {
+            tokens += parser.feed(chunk)?.len();
             longest_gap = longest_gap.max(last_event.elapsed());
             last_event = Instant::now();
             if (20..40).contains(&tokens) {
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -214,13 +214,13 @@
     let mut reply = client.send(address, request).await?;
     let mut parser = Parser::default();
     let mut is_first = true;
-    while let Some(part) = reply.part().await? {
+    while let Some(chunk) = reply.part().await? {
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let now_us = u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX);
         let mut stats = stats.lock().expect("no task panicked");
-        for event in parser.feed(part)? {
+        for event in parser.feed(chunk)? {
             let Some(sent_at_us) = sent_at_us(&event.data) else {
                 continue;
             };
