--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -37,7 +37,7 @@
 /// # Panics
 ///
 /// Never: the bounds of the histogram are valid.
-pub async fn measure_silent_connection() -> Result<(), Error> {
+pub async fn measure_silence() -> Result<(), Error> {
     let cluster = Cluster::start().await?;
     let mut gaps = Histogram::<u64>::new_with_max(60_000_000, 3).expect("the bounds are valid");
     for _ in 0..SILENCE_REPETITIONS {
@@ -58,8 +58,8 @@
                 tokens += 1000;
                 longest_gap = Duration::ZERO;
                 for engine in &cluster.engines {
-                    let request = json!({"mute": true}).to_string();
-                    post(&cluster.client, &engine.address, "/control", &request).await?;
+                    let control = json!({"mute": true}).to_string();
+                    post(&cluster.client, &engine.address, "/control", &control).await?;
                 }
             }
         }
@@ -124,8 +124,8 @@
     for _ in 0..COLD_RESETS {
         tokio::time::sleep(Duration::from_secs(8)).await;
         // The engine becomes cold without announcing it; its running requests continue.
-        let request = json!({"cold": true}).to_string();
-        post(&client, &engine.address, "/control", &request).await?;
+        let control = json!({"cold": true}).to_string();
+        post(&client, &engine.address, "/control", &control).await?;
     }
     tokio::time::sleep(Duration::from_secs(5)).await;
     stop.store(true, Ordering::Relaxed);
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -47,9 +47,7 @@
             Ok(())
         }
         (Ok(runtime), Command::Cold) => runtime.block_on(bench::faults::measure_cold_start()),
-        (Ok(runtime), Command::Silence) => {
-            runtime.block_on(bench::faults::measure_silent_connection())
-        }
+        (Ok(runtime), Command::Silence) => runtime.block_on(bench::faults::measure_silence()),
         (Ok(runtime), Command::Domain) => runtime.block_on(bench::domain::run()),
         (Ok(runtime), Command::Idle) => runtime.block_on(bench::idle::run()),
         (Ok(runtime), Command::Orders) => runtime.block_on(bench::orders::run()),
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -124,9 +124,7 @@
 }
 
 fn print_row(streams: usize, path: &str, stats: &StreamStats, cost: Option<(f64, f64)>) {
-    let cost = cost.map(|(cpu_us_per_token, kib_per_stream)| {
-        format!("{cpu_us_per_token:>18.2} {kib_per_stream:>18.1}")
-    });
+    let cost = cost.map(|(cpu_us, kib)| format!("{cpu_us:>18.2} {kib:>18.1}"));
     println!(
         "{streams:>7}  {path:<7} {:>6}  {:>9} / {:>8}  {:>9} / {:>8}  {}",
         stats.tokens,
