--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -248,7 +248,7 @@
         records::relay(shared, topic, from, &tail.records);
     }
     if reached >= tail.end {
-        prove(shared, topic, sent_at);
+        confirm(shared, topic, sent_at);
     }
     Ok(reached)
 }
@@ -275,7 +275,7 @@
 }
 
 /// Records that this instance's data of a topic was complete at `when`.
-pub fn prove(shared: &Shared, topic: Topic, when: Time) {
+pub fn confirm(shared: &Shared, topic: Topic, when: Time) {
     let topic_state = shared.topic(topic);
     let mut freshness = topic_state.freshness.get();
     freshness.confirm(when);
--- a/crates/proxy/src/gossip/receive.rs
+++ b/crates/proxy/src/gossip/receive.rs
@@ -145,10 +145,10 @@
     };
     for (topic, watermark) in topic::ALL.into_iter().zip(watermarks) {
         let known = shared.topic(topic).position.get();
-        if let Some(asked) =
+        if let Some(confirmed_at) =
             known.and_then(|position| watermark.confirms(echo, shared.incarnation, position))
         {
-            follow::prove(shared, topic, asked);
+            follow::confirm(shared, topic, confirmed_at);
         }
     }
 }
