--- a/crates/carawayhead/tests/forwarding/knowledge.rs
+++ b/crates/carawayhead/tests/forwarding/knowledge.rs
@@ -114,7 +114,7 @@
             })
             .await;
         }
-        let heard = |instance: &Instance| instance.lines_with("records of a fellow").len();
+        let heard = |instance: &Instance| instance.lines_with("records of a peer").len();
         heard(&one) + heard(&two) > 0
     })
     .await;
--- a/crates/proxy/src/gossip/records.rs
+++ b/crates/proxy/src/gossip/records.rs
@@ -47,7 +47,7 @@
     let reached = follow::apply_records(shared, topic, batch.from, &records);
     log::info!(
         topic:?, from = batch.from, records = records.len(), known, reached;
-        "records of a fellow"
+        "records of a peer"
     );
     if reached <= known || role(shared) != Role::Aggregator {
         return;
