--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -174,7 +174,7 @@
     /// Every instance that reaches the store has to apply configuration changes and leaving
     /// endpoints within 2 s, even if the reader does not reach the store; otherwise callers would
     /// be served by the old configuration.
-    pub fn must_read(&mut self, own: LocalTopic<'_>, now: Time) -> Option<Cause> {
+    pub fn read_cause(&mut self, own: LocalTopic<'_>, now: Time) -> Option<Cause> {
         if self.is_reader(own, now) {
             return Some(Cause::Reader);
         }
--- a/crates/forward/tests/readers.rs
+++ b/crates/forward/tests/readers.rs
@@ -54,7 +54,7 @@
         .into_iter()
         .filter(|name| {
             peers_up_to_date(name, 5000)
-                .must_read(own(name, 4700, 7), at(5000))
+                .read_cause(own(name, 4700, 7), at(5000))
                 .is_some()
         })
         .count();
@@ -69,7 +69,7 @@
         for other in NAMES.into_iter().filter(|other| *other != name) {
             readers.update(other, at(6700), true, watermark(1750, 7));
         }
-        let cause = readers.must_read(own(name, 4950, 7), at(6700));
+        let cause = readers.read_cause(own(name, 4950, 7), at(6700));
         assert!(cause.is_some(), "{name}");
     }
 }
@@ -83,7 +83,7 @@
         for other in NAMES.into_iter().filter(|other| *other != name) {
             readers.update(other, at(9000), true, watermark(4000, 7));
         }
-        readers.must_read(own(name, 5000, 7), at(9000))
+        readers.read_cause(own(name, 5000, 7), at(9000))
     });
     let count = |cause| causes.iter().filter(|other| **other == Some(cause)).count();
     assert_eq!(count(Cause::Reader), 1);
@@ -109,7 +109,7 @@
             readers.update(other, at(6700), true, watermark(1750, 7));
         }
         let own = own(name, 4950, 7);
-        let cause = readers.must_read(own, at(6700)).expect("a cause");
+        let cause = readers.read_cause(own, at(6700)).expect("a cause");
         assert!(readers.should_relay(cause, own, at(6700)), "{name}");
     }
     let follower = NAMES
@@ -166,7 +166,7 @@
                 topic: 2,
                 ..own(name, 20_000, 7)
             };
-            readers.must_read(own, at(40_000)).is_some()
+            readers.read_cause(own, at(40_000)).is_some()
         })
         .count();
     assert_eq!(reading, 1);
@@ -182,7 +182,7 @@
             for other in side.into_iter().filter(|other| *other != name) {
                 readers.update(other, at(3000), true, watermark(300, 7));
             }
-            reading += usize::from(readers.must_read(own(name, 2900, 7), at(3000)).is_some());
+            reading += usize::from(readers.read_cause(own(name, 2900, 7), at(3000)).is_some());
         }
         assert_eq!(reading, 1, "{side:?}");
     }
@@ -196,10 +196,10 @@
         .find(|name| !peers_up_to_date(name, 5000).is_reader(own(name, 4900, 7), at(5000)))
         .expect("a follower");
     let mut readers = peers_up_to_date(name, 5000);
-    assert_eq!(readers.must_read(own(name, 4900, 6), at(5000)), None);
-    let cause = readers.must_read(own(name, 4900, 6), at(5130));
+    assert_eq!(readers.read_cause(own(name, 4900, 6), at(5000)), None);
+    let cause = readers.read_cause(own(name, 4900, 6), at(5130));
     assert_eq!(cause, Some(Cause::Missing));
-    assert_eq!(readers.must_read(own(name, 4900, 7), at(5140)), None);
+    assert_eq!(readers.read_cause(own(name, 4900, 7), at(5140)), None);
 }
 
 /// Number of readers in each failure domain, of thirty instances with two aggregators in each of
@@ -230,7 +230,7 @@
             role,
             ..own(name, 900, 7)
         };
-        let reads = readers.must_read(own, at(1000)).is_some();
+        let reads = readers.read_cause(own, at(1000)).is_some();
         reading[index % 3] += usize::from(reads);
     }
     reading
@@ -261,7 +261,7 @@
             role: Role::Aggregator,
             ..own(name, 4900, 7)
         };
-        readers.must_read(own, at(5000)).is_some()
+        readers.read_cause(own, at(5000)).is_some()
     });
     assert_eq!(reading.count(), 1);
 }
@@ -275,9 +275,9 @@
         role: Role::Member,
         ..own("e2", 4900, 6)
     };
-    assert_eq!(readers.must_read(own, at(5000)), None);
-    assert_eq!(readers.must_read(own, at(5400)), None);
-    assert_eq!(readers.must_read(own, at(5510)), Some(Cause::Missing));
+    assert_eq!(readers.read_cause(own, at(5000)), None);
+    assert_eq!(readers.read_cause(own, at(5400)), None);
+    assert_eq!(readers.read_cause(own, at(5510)), Some(Cause::Missing));
 }
 
 /// Entries of replaced instances must be removed, or shares of limits shrink. Entries of instances
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -154,7 +154,7 @@
         return Some(Cause::Start);
     }
     let own = own(shared, topic);
-    shared.readers.borrow_mut().must_read(own, clock::now())
+    shared.readers.borrow_mut().read_cause(own, clock::now())
 }
 
 /// This instance's own state of a topic.
