--- a/crates/carawayhead/src/daemon/exchange.rs
+++ b/crates/carawayhead/src/daemon/exchange.rs
@@ -6,11 +6,11 @@
 #[derive(Debug)]
 pub struct Exchange {
     /// The request as received from the caller.
-    pub ask: RequestKind,
+    pub request_kind: RequestKind,
     /// Request id for log lines.
     pub id: Uuid,
-    /// Channel for the pieces of the answer.
-    pub outlet: Sender<ResponseEvent>,
+    /// Channel for the response events.
+    pub event_sender: Sender<ResponseEvent>,
     /// Task of the current connection to an endpoint.
     task: Option<AbortHandle>,
 }
@@ -18,11 +18,15 @@
 impl Exchange {
     /// Creates an exchange that is not connected to an endpoint.
     #[must_use]
-    pub const fn new(ask: RequestKind, id: Uuid, outlet: Sender<ResponseEvent>) -> Self {
+    pub const fn new(
+        request_kind: RequestKind,
+        id: Uuid,
+        event_sender: Sender<ResponseEvent>,
+    ) -> Self {
         Self {
-            ask,
+            request_kind,
             id,
-            outlet,
+            event_sender,
             task: None,
         }
     }
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -310,7 +310,7 @@
         let closed = self
             .exchanges
             .iter()
-            .filter(|(_, exchange)| exchange.outlet.is_closed());
+            .filter(|(_, exchange)| exchange.event_sender.is_closed());
         let closed = closed.map(|(key, _)| key).collect::<Vec<_>>();
         for key in closed {
             self.step(Event::CallerDisconnected(key));
@@ -403,8 +403,8 @@
         }
     }
 
-    fn work(&self, ask: &RequestKind) -> Work {
-        match ask {
+    fn work(&self, request_kind: &RequestKind) -> Work {
+        match request_kind {
             RequestKind::Call {
                 order,
                 payload,
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -41,7 +41,7 @@
                     let sent = self
                         .exchanges
                         .get(key)
-                        .map(|to| to.outlet.try_send(ResponseEvent::Token(index, data)));
+                        .map(|to| to.event_sender.try_send(ResponseEvent::Token(index, data)));
                     if let Some(Err(error)) = sent {
                         failed.push((key, error));
                     }
@@ -79,9 +79,9 @@
 
     /// Disconnects a caller that left, or whose buffer is full because it reads too slowly.
     ///
-    /// The connection is closed once the buffered pieces are sent. The generation is kept for
-    /// the grace time, so that the caller can resume it with `Last-Event-ID`. This bounds the
-    /// memory used for slow callers.
+    /// The connection is closed once the buffered response events are sent. The generation is
+    /// kept for the grace time, so that the caller can resume it with `Last-Event-ID`. This
+    /// bounds the memory used for slow callers.
     fn disconnect_caller(
         &mut self,
         key: request::Key,
@@ -92,7 +92,7 @@
                 log::warn!(request:% = exchange.id; "disconnecting a caller that reads too slowly: response buffer full");
             }
             let (closed, _) = mpsc::channel(1);
-            exchange.outlet = closed;
+            exchange.event_sender = closed;
         }
         self.step(Event::CallerDisconnected(key));
     }
@@ -144,14 +144,14 @@
                 .collect(),
             ..TimelineEntry::default()
         });
-        if let Err(mpsc::error::TrySendError::Full(piece)) =
-            exchange.outlet.try_send(ResponseEvent::End(outcome))
+        if let Err(mpsc::error::TrySendError::Full(event)) =
+            exchange.event_sender.try_send(ResponseEvent::End(outcome))
         {
             // The buffer is full of unread tokens. The end is sent once there is room for it,
             // because without it a complete answer would look truncated.
-            let outlet = exchange.outlet.clone();
+            let event_sender = exchange.event_sender.clone();
             tokio::spawn(async move {
-                if outlet.send(piece).await.is_err() {
+                if event_sender.send(event).await.is_err() {
                     log::debug!("caller disconnected before the end of its answer");
                 }
             });
@@ -234,7 +234,7 @@
         let Some(exchange) = self.exchanges.get_mut(attempt.request) else {
             return;
         };
-        let task = match &mut exchange.ask {
+        let task = match &mut exchange.request_kind {
             RequestKind::Call { payload, .. } => {
                 let call = service::Call {
                     attempt,
@@ -283,8 +283,8 @@
             detail: format!("as {}", attempt.generation),
             ..TimelineEntry::default()
         };
-        let piece = ResponseEvent::Started(name, attempt.generation);
-        if exchange.outlet.try_send(piece).is_err() {
+        let event = ResponseEvent::Started(name, attempt.generation);
+        if exchange.event_sender.try_send(event).is_err() {
             log::debug!(request:% = exchange.id; "endpoint name not delivered: caller disconnected or response buffer full");
         }
         self.record(entry);
