--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -16,37 +16,37 @@
 /// Follows the configuration stream and reports its records as events.
 pub async fn config(stream: Stream, snapshots: Stream, clock: Clock, events: Sender<Event>) {
     let mut next = 0;
-    let mut hold = Duration::ZERO;
+    let mut poll_timeout = Duration::ZERO;
     while !events.is_closed() {
-        let Some(part) = read(&stream, next, hold).await else {
+        let Some(batch) = read(&stream, next, poll_timeout).await else {
             continue;
         };
-        hold = LONG_POLL_TIMEOUT;
-        if part.first > next {
-            // Records before `part.first` have expired. Without a snapshot that covers them,
+        poll_timeout = LONG_POLL_TIMEOUT;
+        if batch.first > next {
+            // Records before `batch.first` have expired. Without a snapshot that covers them,
             // the configuration would be incomplete, so no later record is applied.
             match newest_snapshot(&snapshots).await {
-                Some(snapshot) if snapshot.next >= part.first => {
+                Some(snapshot) if snapshot.next >= batch.first => {
                     next = snapshot.next;
                     send_event(&events, Event::Snapshot(snapshot)).await;
                 }
                 _ => {
-                    log::error!(first = part.first, next; "configuration records expired before they were read and no snapshot covers them");
+                    log::error!(first = batch.first, next; "configuration records expired before they were read and no snapshot covers them");
                     tokio::time::sleep(READ_RETRY_DELAY * 25).await;
                 }
             }
             continue;
         }
-        for entry in &part.records {
-            next = entry.offset + 1;
+        for record in &batch.records {
+            next = record.offset + 1;
             send_event(
                 &events,
-                Event::Configured(config_record(entry.offset, &entry.data)),
+                Event::Configured(config_record(record.offset, &record.data)),
             )
             .await;
         }
-        if next >= part.next {
-            send_event(&events, Event::ConfigCaughtUp(clock.at(part.requested_at))).await;
+        if next >= batch.next {
+            send_event(&events, Event::ConfigCaughtUp(clock.at(batch.requested_at))).await;
         }
     }
 }
@@ -57,16 +57,16 @@
     let mut newest = None;
     let mut next = 0;
     loop {
-        let part = read(stream, next, Duration::ZERO).await?;
-        for entry in &part.records {
-            next = entry.offset + 1;
-            match assembly.push(&entry.data) {
+        let batch = read(stream, next, Duration::ZERO).await?;
+        for record in &batch.records {
+            next = record.offset + 1;
+            match assembly.push(&record.data) {
                 Ok(Some(snapshot)) => newest = Some(snapshot),
                 Ok(None) => {}
-                Err(error) => log::error!(offset = entry.offset, error:%; "snapshot part skipped"),
+                Err(error) => log::error!(offset = record.offset, error:%; "snapshot part skipped"),
             }
         }
-        if next >= part.next || part.records.is_empty() {
+        if next >= batch.next || batch.records.is_empty() {
             return newest;
         }
     }
@@ -77,14 +77,14 @@
     let mut assembly = codec::SnapshotAssembler::default();
     let mut next = 0;
     while !events.is_closed() {
-        let Some(part) = read(&stream, next, LONG_POLL_TIMEOUT).await else {
+        let Some(batch) = read(&stream, next, LONG_POLL_TIMEOUT).await else {
             continue;
         };
-        next = next.max(part.first);
-        for entry in &part.records {
-            next = entry.offset + 1;
-            if matches!(assembly.push(&entry.data), Ok(Some(_))) {
-                send_event(&events, Event::SnapshotSeen(entry.at)).await;
+        next = next.max(batch.first);
+        for record in &batch.records {
+            next = record.offset + 1;
+            if matches!(assembly.push(&record.data), Ok(Some(_))) {
+                send_event(&events, Event::SnapshotSeen(record.at)).await;
             }
         }
     }
@@ -95,38 +95,38 @@
     let mut next = 0;
     let mut has_read = false;
     while !events.is_closed() {
-        let hold = if has_read {
+        let poll_timeout = if has_read {
             LONG_POLL_TIMEOUT
         } else {
             Duration::ZERO
         };
-        let Some(part) = read(&stream, next, hold).await else {
+        let Some(batch) = read(&stream, next, poll_timeout).await else {
             continue;
         };
-        if !has_read && part.first == 0 {
+        if !has_read && batch.first == 0 {
             send_event(&events, Event::ClaimsCoveredFrom(Wall(0))).await;
-        } else if part.first > next {
-            let from = part.records.first().map_or(part.now, |entry| entry.at);
-            log::warn!(first = part.first, next; "claim records expired before they were read");
+        } else if batch.first > next {
+            let from = batch.records.first().map_or(batch.now, |record| record.at);
+            log::warn!(first = batch.first, next; "claim records expired before they were read");
             send_event(&events, Event::ClaimsCoveredFrom(from)).await;
-            next = part.first;
+            next = batch.first;
         }
         has_read = true;
-        let mut batches = Vec::with_capacity(part.records.len());
-        for entry in &part.records {
-            next = entry.offset + 1;
-            match codec::decode_batch(&entry.data) {
-                Ok(batch) => batches.push(batch),
+        let mut batches = Vec::with_capacity(batch.records.len());
+        for record in &batch.records {
+            next = record.offset + 1;
+            match codec::decode_batch(&record.data) {
+                Ok(claims) => batches.push(claims),
                 Err(error) => {
-                    log::error!(offset = entry.offset, error:%; "skipping a claim record that cannot be decoded");
+                    log::error!(offset = record.offset, error:%; "skipping a claim record that cannot be decoded");
                 }
             }
         }
         if !batches.is_empty() {
             send_event(&events, Event::Claims(batches)).await;
         }
-        if next >= part.next {
-            send_event(&events, Event::ClaimsCaughtUp(clock.at(part.requested_at))).await;
+        if next >= batch.next {
+            send_event(&events, Event::ClaimsCaughtUp(clock.at(batch.requested_at))).await;
         }
     }
 }
@@ -172,9 +172,9 @@
     })
 }
 
-async fn read(stream: &Stream, next: u64, hold: Duration) -> Option<RecordBatch> {
-    match stream.read(next, hold).await {
-        Ok(part) => Some(part),
+async fn read(stream: &Stream, next: u64, poll_timeout: Duration) -> Option<RecordBatch> {
+    match stream.read(next, poll_timeout).await {
+        Ok(batch) => Some(batch),
         Err(error) => {
             log::warn!(stream = stream.name, error:%; "log could not be read");
             tokio::time::sleep(READ_RETRY_DELAY).await;
