--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -228,7 +228,7 @@
             tokio::select! {
                 Some(event) = self.inbox.recv() => self.handle_events(event),
                 Some(inbound) = self.inbound.recv() => self.handle_request(inbound),
-                Some(asked) = self.peer_requests.recv() => self.answer_peer(asked),
+                Some(request) = self.peer_requests.recv() => self.answer_peer(request),
                 _ = tick.tick() => self.tick(),
                 () = drain_requested(&mut drain_request) => {
                     drain_request = None;
@@ -382,24 +382,24 @@
     }
 
     /// Answers a peer instance with the records that it lacks.
-    fn answer_peer(&self, asked: IncomingRequest) {
-        lock(&self.timeline).receive(self.clock.wall(), asked.hello.stamp);
-        let next = asked.hello.next;
-        let lines = self.state.history.records_from(next).into_iter();
+    fn answer_peer(&self, request: IncomingRequest) {
+        lock(&self.timeline).receive(self.clock.wall(), request.hello.stamp);
+        let next = request.hello.next;
+        let records = self.state.history.records_from(next).into_iter();
         let own = self.state.config.next();
         let lacking = self.state.history.needs_snapshot(next, own) && self.state.config.complete();
         let answer = peer::Answer {
             hello: self.hello(),
             snapshot: lacking.then(|| self.state.config.snapshot()),
-            records: lines
+            records: records
                 .map(|(offset, data)| peer::Record {
                     data: data.to_vec(),
                     offset,
                 })
                 .collect(),
         };
-        if asked.reply.send(answer).is_err() {
-            log::debug!(fellow = asked.hello.name; "peer instance disconnected before it was answered");
+        if request.reply.send(answer).is_err() {
+            log::debug!(fellow = request.hello.name; "peer instance disconnected before it was answered");
         }
     }
 
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -165,11 +165,11 @@
         let (hello, clock, events) = (self.hello(), self.clock, self.events.clone());
         let timeline = Arc::clone(&self.timeline);
         tokio::spawn(async move {
-            let asked = clock.now();
+            let sent_at = clock.now();
             match link.exchange(to, &hello).await {
                 Ok(answer) => {
                     lock(&timeline).receive(clock.wall(), answer.hello.stamp);
-                    send_event(&events, Event::PeerUpdate(peer_update(asked, answer))).await;
+                    send_event(&events, Event::PeerUpdate(peer_update(sent_at, answer))).await;
                 }
                 Err(error) => log::debug!(address:% = to, error:%; "gossip exchange failed"),
             }
@@ -308,16 +308,16 @@
 /// Maximum length of an outcome in the time line, in characters.
 const MAX_DETAIL_CHARS: usize = 160;
 
-fn peer_update(asked: Time, answer: Answer) -> PeerUpdate {
-    let lines = answer.records.into_iter();
+fn peer_update(sent_at: Time, answer: Answer) -> PeerUpdate {
+    let records = answer.records.into_iter();
     PeerUpdate {
-        asked,
+        sent_at,
         watermark: Watermark {
             age: answer.hello.age_ms.map(Duration::from_millis),
             next: answer.hello.next,
         },
-        records: lines
-            .map(|line| tail::config_record(line.offset, &Bytes::from(line.data)))
+        records: records
+            .map(|record| tail::config_record(record.offset, &Bytes::from(record.data)))
             .collect(),
         snapshot: answer.snapshot,
     }
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct PeerUpdate {
     /// When the request was sent.
-    pub asked: Time,
+    pub sent_at: Time,
     /// Watermark of the peer.
     pub watermark: Watermark,
     /// Records that this instance lacks, in order.
@@ -137,7 +137,7 @@
         // instance, having read as far, is as fresh. The time of the request is a lower bound
         // of the time of the answer.
         if self.config.next() >= update.watermark.next {
-            self.mark_config_current(update.asked.before(age));
+            self.mark_config_current(update.sent_at.before(age));
         }
     }
 
--- a/crates/forward/src/freshness.rs
+++ b/crates/forward/src/freshness.rs
@@ -13,9 +13,9 @@
 }
 
 impl Freshness {
-    /// Records that the knowledge was complete at `asked`, when its query was sent.
-    pub fn confirm(&mut self, asked: Time) {
-        self.confirmed = self.confirmed.max(Some(asked));
+    /// Records that the knowledge was complete at `sent_at`, when its query was sent.
+    pub fn confirm(&mut self, sent_at: Time) {
+        self.confirmed = self.confirmed.max(Some(sent_at));
     }
 
     /// Time since the knowledge was last known to be complete.
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -151,14 +151,14 @@
         &self.disabled_domains
     }
 
-    /// Records that the endpoint list was complete at `asked`, when the store was queried.
-    pub fn confirm_list(&mut self, now: Time, asked: Time) {
+    /// Records that the endpoint list was complete at `sent_at`, when the store was queried.
+    pub fn confirm_list(&mut self, now: Time, sent_at: Time) {
         // The first read after a start is not a recovery: an entry that is removed then has left.
         let age = self.list_freshness.age(now);
         if age.is_some_and(|age| age > STORE_OUTAGE_THRESHOLD) {
             self.store_recovered_at = Some(now);
         }
-        self.list_freshness.confirm(asked);
+        self.list_freshness.confirm(sent_at);
     }
 
     /// Applies a change of the endpoint list.
--- a/crates/forward/tests/knowledge.rs
+++ b/crates/forward/tests/knowledge.rs
@@ -22,8 +22,8 @@
 #[test]
 fn configuration_age_counts_from_query() {
     let mut state = instance(&[]);
-    let (asked, read) = (at(1000), at(9000));
-    state.config_freshness.confirm(asked);
+    let (sent_at, read) = (at(1000), at(9000));
+    state.config_freshness.confirm(sent_at);
     let admitted = state.admit(read, &inbound("/desk/x", read));
     assert_eq!(admitted.map(|_| ()), Err(Refusal::Stale));
     state.config_freshness.confirm(at(500));
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -80,7 +80,7 @@
 /// An answer of the store that has not arrived yet.
 #[derive(Clone, Copy, Debug)]
 struct Answer {
-    asked: u64,
+    sent_at: u64,
     end: usize,
 }
 
@@ -295,8 +295,8 @@
             return;
         }
         let end = self.log[topic].len();
-        let asked = self.now;
-        self.instances[index].pending[topic].get_or_insert(Answer { asked, end });
+        let sent_at = self.now;
+        self.instances[index].pending[topic].get_or_insert(Answer { sent_at, end });
     }
 
     /// The answer may have been delayed while its instance was disconnected or frozen.
@@ -308,7 +308,7 @@
             return;
         };
         self.apply_records(index, topic, answer.end);
-        self.confirm(index, topic, answer.asked);
+        self.confirm(index, topic, answer.sent_at);
     }
 
     fn apply_records(&mut self, index: usize, topic: usize, end: usize) {
@@ -341,15 +341,15 @@
         instance.position[topic] = instance.position[topic].max(end);
     }
 
-    fn confirm(&mut self, index: usize, topic: usize, asked: u64) {
+    fn confirm(&mut self, index: usize, topic: usize, sent_at: u64) {
         let now = self.local(index);
         let instance = &mut self.instances[index];
-        instance.confirmed[topic] = instance.confirmed[topic].max(Some(asked));
-        let asked = at(asked.saturating_sub(instance.booted_at));
+        instance.confirmed[topic] = instance.confirmed[topic].max(Some(sent_at));
+        let sent_at = at(sent_at.saturating_sub(instance.booted_at));
         if topic == OPERATORS {
-            instance.state.config_freshness.confirm(asked);
+            instance.state.config_freshness.confirm(sent_at);
         } else {
-            instance.state.confirm_list(now, asked);
+            instance.state.confirm_list(now, sent_at);
         }
     }
 
@@ -382,11 +382,11 @@
             incarnation,
             ..
         } = self.instances[message.to];
-        if let Some(asked) = message
+        if let Some(sent_at) = message
             .watermark
             .confirms(message.echo, incarnation, position)
         {
-            self.confirm(message.to, OPERATORS, booted_at + asked.micros() / 1000);
+            self.confirm(message.to, OPERATORS, booted_at + sent_at.micros() / 1000);
         }
     }
 
@@ -444,7 +444,7 @@
     fn check_endpoint(&self, index: usize, engine: usize) {
         let confirmed = self.instances[index].confirmed[OPERATORS];
         if let Some(since) = self.disabled_domains[engine % 3] {
-            let known = confirmed.is_some_and(|asked| asked > since);
+            let known = confirmed.is_some_and(|sent_at| sent_at > since);
             assert!(!known, "sent to a disabled domain");
         }
         if let Some((since, announced)) = self.instances[index].left[engine] {
@@ -478,10 +478,12 @@
                 self.now - since
             ),
             Refusal::Stale => assert!(
-                confirmed.is_none_or(|asked| asked + MAX_SERVING_AGE_MS < self.now) || !held || {
-                    let unread = since + MAX_APPLY_DELAY_MS > self.now;
-                    unread || confirmed.is_some_and(|asked| asked <= since)
-                },
+                confirmed.is_none_or(|sent_at| sent_at + MAX_SERVING_AGE_MS < self.now)
+                    || !held
+                    || {
+                        let unread = since + MAX_APPLY_DELAY_MS > self.now;
+                        unread || confirmed.is_some_and(|sent_at| sent_at <= since)
+                    },
                 "rejected as stale with a recent configuration"
             ),
             Refusal::Unconfigured => assert!(confirmed.is_none(), "a configuration was lost"),
