--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -1,4 +1,4 @@
-//! Placement of requests, runs, and copies of KV memory.
+//! Placement of requests, runs, and copies of their KV cache.
 //!
 //! Costs are in milliseconds of waiting, so that they can be added.
 
@@ -8,14 +8,14 @@
     slotmap::{Key as _, SecondaryMap},
 };
 
-/// Share of the KV memory that runs are placed in by expected length; the rest is for runs that
+/// Share of the KV cache that placement fills by expected length; the rest is for runs that
 /// exceed it.
 const MAX_KV_FILL: f64 = 0.92;
 
-/// Share of the KV memory of an engine up to which copies are placed; the rest is for runs.
+/// Share of the KV cache of an engine up to which copies are placed; the rest is for runs.
 const MAX_COPY_KV_FILL: f64 = 0.75;
 
-/// Share of the KV memory of all engines up to which runs are copied. Above it copies would take
+/// Share of the KV cache of all engines up to which runs are copied. Above it copies would take
 /// the memory of runs, which would be preempted; runs of leaving engines can still be moved without
 /// a copy.
 const MAX_RUN_KV_FILL: f64 = 0.65;
@@ -50,7 +50,7 @@
 /// Minimum time that an engine keeps working after this instance learned that it is leaving.
 const MIN_LEAVE_NOTICE: Duration = Duration::from_millis(900);
 
-/// Cost of an engine whose KV memory is full; proportional below that.
+/// Cost of an engine whose KV cache is full; proportional below that.
 const FULL_MEMORY_COST_MS: f64 = 150.0;
 
 /// Cost of each request in progress at an endpoint that is not a model engine.
@@ -84,7 +84,7 @@
 /// Result of a choice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Pick {
-    /// Send to this endpoint, with a copy of the KV memory at the other one.
+    /// Send to this endpoint, with a copy of the KV cache at the other one.
     Send(EndpointKey, Option<EndpointKey>),
     /// No endpoint has capacity now.
     Wait,
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Chooses an engine for the copy of the KV memory of a run at `endpoint`.
+    /// Chooses an engine for the copy of the KV cache of a run at `endpoint`.
     #[must_use]
     pub fn pick_backup(
         &self,
@@ -268,7 +268,7 @@
         })
     }
 
-    /// Share of the KV memory of a service's usable engines that runs need, without copies.
+    /// Share of the KV cache of a service's usable engines that runs need, without copies.
     fn run_fill(
         &self,
         now: Time,
--- a/crates/forward/src/config.rs
+++ b/crates/forward/src/config.rs
@@ -57,11 +57,11 @@
 /// Capabilities and capacity of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Whether the KV memory of a run can be copied to a second engine while it grows.
+    /// Whether the KV cache of a run can be copied to a second engine while it grows.
     pub backups: bool,
     /// How long an engine keeps a finished copy that is not used.
     pub handle_ttl: Duration,
-    /// KV memory, in tokens.
+    /// KV-cache capacity, in tokens.
     pub kv_tokens: u32,
     /// Whether a run can be moved to another engine.
     pub moves: bool,
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -44,7 +44,7 @@
 pub struct Load {
     /// Share of [`Self::tokens`] for copies of runs at other engines.
     pub copies: u32,
-    /// Expected KV memory of its requests, in tokens.
+    /// Expected KV-cache demand of its requests, in tokens.
     pub tokens: u32,
     /// Prompt tokens of requests that have not produced a token yet.
     pub prefill_tokens: u32,
--- a/crates/forward/src/run.rs
+++ b/crates/forward/src/run.rs
@@ -2,13 +2,13 @@
 
 use crate::{endpoint::Load, prelude::*};
 
-/// Share of the remaining output that counts as KV memory demand.
+/// Share of the remaining output that counts as KV-cache demand.
 ///
 /// The runs of an engine end one after the other and free their memory, so together they never need
 /// the sum of their final sizes. Counting all of it would reject requests and moves that fit.
 const GROWTH_SHARE: f64 = 0.25;
 
-/// KV memory demand, in tokens, of a run that holds `held` tokens and has `remaining` to generate.
+/// KV-cache demand, in tokens, of a run that holds `held` tokens and has `remaining` to generate.
 #[must_use]
 pub fn kv_demand(held: u32, remaining: u32) -> u32 {
     #[expect(
@@ -23,7 +23,7 @@
 /// A generation in progress at an engine.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Engine with a copy of its KV memory.
+    /// Engine with a copy of its KV cache.
     pub backup: Option<EndpointKey>,
     /// Engine that it runs at.
     pub endpoint: EndpointKey,
@@ -50,13 +50,13 @@
         self.events.saturating_mul(self.tokens_per_event)
     }
 
-    /// KV memory that it holds, in tokens.
+    /// KV cache that it holds, in tokens.
     #[must_use]
     pub const fn held(&self) -> u32 {
         self.prompt.saturating_add(self.generated())
     }
 
-    /// KV memory demand, in tokens.
+    /// KV-cache demand, in tokens.
     #[must_use]
     pub fn need(&self) -> u32 {
         kv_demand(self.held(), self.remaining())
