--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -9,7 +9,7 @@
         listen::RequestGuard,
         prelude::*,
         progress::Progress,
-        relocate::Takeover,
+        relocate::RunCopy,
         reply::Part,
         shared::RunGuard,
         takeover::{EventSource, TakeoverContext, TakeoverOutcome},
@@ -213,13 +213,13 @@
         if pending_move.is_some() || now < self.next_move || !self.is_leaving() {
             return;
         }
-        if self.backup_takeover().is_none() && self.ends_soon() {
+        if self.backup_copy().is_none() && self.ends_soon() {
             // Copying it would take bandwidth from runs that cannot end in time.
             return;
         }
         log::info!(id = self.original.inbound.id, events = self.sequence.count(); "move begins");
         *pending_move = Some(Box::pin(
-            self.takeover_context().move_run(self.backup_takeover()),
+            self.takeover_context().move_run(self.backup_copy()),
         ));
     }
 
@@ -229,21 +229,18 @@
         if pending_move.is_some() {
             return;
         }
-        if let Some(takeover) = self.healthy_takeover() {
-            *pending_move = Some(Box::pin(
-                self.takeover_context().take_over(takeover, "quiet"),
-            ));
+        if let Some(copy) = self.healthy_backup_copy() {
+            *pending_move = Some(Box::pin(self.takeover_context().take_over(copy, "quiet")));
         }
     }
 
     /// The backup copy, if its engine is healthy.
-    fn healthy_takeover(&self) -> Option<Takeover> {
+    fn healthy_backup_copy(&self) -> Option<RunCopy> {
         let healthy = {
             let state = self.shared.state.borrow();
             state.healthy_backup(clock::now(), self.running.key)
         };
-        self.backup_takeover()
-            .filter(|takeover| Some(takeover.key) == healthy)
+        self.backup_copy().filter(|copy| Some(copy.key) == healthy)
     }
 
     /// The data that a takeover needs, without the stream itself.
--- a/crates/proxy/src/relay/failover.rs
+++ b/crates/proxy/src/relay/failover.rs
@@ -6,7 +6,7 @@
         buffered::acquire_endpoint,
         clock,
         prelude::*,
-        relocate::{self, Takeover},
+        relocate::{self, RunCopy},
         takeover::{self, Opened, TakeoverOutcome},
     },
     forward::choice::Need,
@@ -108,10 +108,10 @@
     async fn stopped(&mut self, stop: relocate::StopOutcome, why: &str) -> Result<(), Ending> {
         match stop {
             relocate::StopOutcome::Busy => Ok(()),
-            relocate::StopOutcome::Gone => self.take_over_or_wait("gone").await,
-            relocate::StopOutcome::Stopped(takeover) => {
+            relocate::StopOutcome::NoRun => self.take_over_or_wait("gone").await,
+            relocate::StopOutcome::Stopped(copy) => {
                 self.last_events().await?;
-                self.take_over(takeover, why).await
+                self.take_over(copy, why).await
             }
             relocate::StopOutcome::Unreachable => {
                 self.shared.mark_unreachable(self.source.key);
@@ -125,9 +125,9 @@
     /// stream is lost only once another engine may have taken it over or its connection
     /// breaks.
     async fn take_over_or_wait(&mut self, why: &str) -> Result<(), Ending> {
-        let refusal = match self.backup_takeover() {
+        let refusal = match self.backup_copy() {
             None => "no copy".to_string(),
-            Some(takeover) => match self.takeover_context().open_from_copy(&takeover, why).await {
+            Some(copy) => match self.takeover_context().open_from_copy(&copy, why).await {
                 Ok(opened) => {
                     self.switch_over(opened);
                     return Ok(());
@@ -148,9 +148,9 @@
     /// The engine is lost: takes over from the backup copy, or else restarts after the last
     /// event if the route allows it.
     async fn take_over_or_restart(&mut self, why: &str) -> Result<(), Ending> {
-        match self.backup_takeover() {
+        match self.backup_copy() {
             None => self.restart(why, format!("{why}; no copy")).await,
-            Some(takeover) => self.take_over(takeover, why).await,
+            Some(copy) => self.take_over(copy, why).await,
         }
     }
 
@@ -221,13 +221,13 @@
     }
 
     /// The backup copy of the run, if its engine may continue it.
-    pub(super) fn backup_takeover(&self) -> Option<Takeover> {
+    pub(super) fn backup_copy(&self) -> Option<RunCopy> {
         let key = {
             let state = self.shared.state.borrow();
             let key = state.run(self.running.key)?.backup?;
             state.may_continue_at(clock::now(), key).then_some(key)?
         };
-        Some(Takeover {
+        Some(RunCopy {
             address: self.shared.endpoint_address(key)?.0,
             handle: self.original.inbound.id.clone(),
             key,
@@ -235,12 +235,12 @@
     }
 
     /// Takes over from a copy after the previous run has stopped or failed.
-    async fn take_over(&mut self, takeover: Takeover, why: &str) -> Result<(), Ending> {
+    async fn take_over(&mut self, copy: RunCopy, why: &str) -> Result<(), Ending> {
         self.takeovers += 1;
         if self.takeovers > MAX_TAKEOVERS {
             return Err(Ending::Lost(format!("{why}; too many takeovers")));
         }
-        match self.takeover_context().open_from_copy(&takeover, why).await {
+        match self.takeover_context().open_from_copy(&copy, why).await {
             Ok(opened) => {
                 self.attach(opened);
                 Ok(())
--- a/crates/proxy/src/relocate.rs
+++ b/crates/proxy/src/relocate.rs
@@ -18,7 +18,7 @@
 
 /// A copy of a run and the engine that can continue it.
 #[derive(Clone, Debug)]
-pub struct Takeover {
+pub struct RunCopy {
     /// Engine that knows the copy by its handle.
     pub address: SocketAddr,
     /// Handle of the copy.
@@ -33,7 +33,7 @@
     /// The run stays where it is, for this reason; the move may be retried.
     Deferred(String),
     /// The copy is complete; the run continues where it is until it is taken over.
-    Ready(Takeover),
+    Ready(RunCopy),
 }
 
 /// Result of stopping a silent run.
@@ -42,9 +42,9 @@
     /// A move of the run is in progress, or no other engine has room for it.
     Busy,
     /// The engine does not have the run.
-    Gone,
+    NoRun,
     /// The run has stopped and can be resumed there.
-    Stopped(Takeover),
+    Stopped(RunCopy),
     /// The engine does not answer.
     Unreachable,
 }
@@ -67,7 +67,7 @@
         let result = call(shared, &ends, id, false, MOVE_TIMEOUT).await;
         log::info!(id, ms = clock::now().since(started_at).as_millis(), result:?; "copied");
         return match result {
-            Ok(MoveResult::Copied { handle, .. }) => MoveOutcome::Ready(Takeover {
+            Ok(MoveResult::Copied { handle, .. }) => MoveOutcome::Ready(RunCopy {
                 address: ends.source,
                 handle,
                 key: ends.target_key,
@@ -104,7 +104,7 @@
     log::info!(id, result:?; "stop requested from engine");
     match result {
         Ok(MoveResult::Busy) => StopOutcome::Busy,
-        Ok(MoveResult::Copied { handle, .. }) => StopOutcome::Stopped(Takeover {
+        Ok(MoveResult::Copied { handle, .. }) => StopOutcome::Stopped(RunCopy {
             address: ends.source,
             handle,
             key: if stays {
@@ -113,12 +113,12 @@
                 ends.target_key
             },
         }),
-        Ok(MoveResult::Refused(Some(handle))) => StopOutcome::Stopped(Takeover {
+        Ok(MoveResult::Refused(Some(handle))) => StopOutcome::Stopped(RunCopy {
             address: ends.source,
             handle,
             key: ends.source_key,
         }),
-        Ok(MoveResult::NoRun | MoveResult::Refused(None)) => StopOutcome::Gone,
+        Ok(MoveResult::NoRun | MoveResult::Refused(None)) => StopOutcome::NoRun,
         Err(_) => StopOutcome::Unreachable,
     }
 }
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -5,7 +5,7 @@
         clock,
         exchange::{self, Destination, Original, SendOutcome},
         prelude::*,
-        relocate::{self, MoveOutcome, Takeover},
+        relocate::{self, MoveOutcome, RunCopy},
     },
     endpoint::sse::EventSplitter,
     forward::request::Ticket,
@@ -88,14 +88,14 @@
     /// The backup lacks only the last few tokens, so its engine can continue at once, while a
     /// move queues behind others on the link. The run continues until the other engine has
     /// responded, so nothing is lost if the copy is missing.
-    pub async fn move_run(self, backup: Option<Takeover>) -> TakeoverOutcome {
+    pub async fn move_run(self, backup: Option<RunCopy>) -> TakeoverOutcome {
         let healthy = self
             .shared
             .state
             .borrow()
             .healthy_backup(clock::now(), self.run);
-        if let Some(takeover) = backup.filter(|takeover| Some(takeover.key) == healthy) {
-            match self.open_within_overlap(&takeover, "leaving").await {
+        if let Some(copy) = backup.filter(|copy| Some(copy.key) == healthy) {
+            match self.open_within_overlap(&copy, "leaving").await {
                 TakeoverOutcome::Deferred(_) => {}
                 settled => return settled,
             }
@@ -103,21 +103,21 @@
         let id = &self.original.inbound.id;
         match relocate::move_run(&self.shared, self.run, id).await {
             MoveOutcome::Deferred(why) => TakeoverOutcome::Deferred(why),
-            MoveOutcome::Ready(takeover) => self.open_within_overlap(&takeover, "copied").await,
+            MoveOutcome::Ready(copy) => self.open_within_overlap(&copy, "copied").await,
         }
     }
 
     /// Takes over at the engine that holds a copy; does not fall back to a move.
-    pub async fn take_over(self, takeover: Takeover, why: &'static str) -> TakeoverOutcome {
-        self.open_within_overlap(&takeover, why).await
+    pub async fn take_over(self, copy: RunCopy, why: &'static str) -> TakeoverOutcome {
+        self.open_within_overlap(&copy, why).await
     }
 
     /// Asks an engine to take over while the previous engine may still be running.
-    async fn open_within_overlap(&self, takeover: &Takeover, why: &str) -> TakeoverOutcome {
-        match timeout(MAX_OVERLAP, self.open_from_copy(takeover, why)).await {
+    async fn open_within_overlap(&self, copy: &RunCopy, why: &str) -> TakeoverOutcome {
+        match timeout(MAX_OVERLAP, self.open_from_copy(copy, why)).await {
             Ok(Ok(opened)) => TakeoverOutcome::Opened(Box::new(opened)),
             Ok(Err(Failure::NotRun(why))) => TakeoverOutcome::Deferred(why),
-            Ok(Err(Failure::Unknown(_))) | Err(_) => TakeoverOutcome::Unknown(takeover.key),
+            Ok(Err(Failure::Unknown(_))) | Err(_) => TakeoverOutcome::Unknown(copy.key),
         }
     }
 
@@ -126,12 +126,12 @@
     /// # Errors
     ///
     /// The engine refused, or did not respond.
-    pub async fn open_from_copy(&self, takeover: &Takeover, why: &str) -> Result<Opened, Failure> {
+    pub async fn open_from_copy(&self, copy: &RunCopy, why: &str) -> Result<Opened, Failure> {
         let source = head::KvSource {
-            address: takeover.address,
-            handle: takeover.handle.clone(),
+            address: copy.address,
+            handle: copy.handle.clone(),
         };
-        self.ask(takeover.key, Some(&source), why).await
+        self.open(copy.key, Some(&source), why).await
     }
 
     /// Asks an engine to start a resumable stream after the caller's last event.
@@ -140,10 +140,10 @@
     ///
     /// The engine refused, or did not respond.
     pub async fn resume(&self, key: EndpointKey, why: &str) -> Result<Opened, Failure> {
-        self.ask(key, None, why).await
+        self.open(key, None, why).await
     }
 
-    async fn ask(
+    async fn open(
         &self,
         key: EndpointKey,
         source: Option<&head::KvSource>,
