--- a/crates/proxy/src/buffered.rs
+++ b/crates/proxy/src/buffered.rs
@@ -156,8 +156,8 @@
             SendOutcome::Unknown(why) => Err(unknown(why)),
         }
     };
-    let whole = timeout(limit, read).await;
-    whole.unwrap_or_else(|_| Err(unknown("response incomplete at the time limit".to_string())))
+    let result = timeout(limit, read).await;
+    result.unwrap_or_else(|_| Err(unknown("response incomplete at the time limit".to_string())))
 }
 
 /// Decides whether a response goes to the caller, is retried or fails the request.
@@ -186,10 +186,10 @@
         && progress.may_send(shared, ticket);
     if retry {
         progress.note_run(key, format!("failed with {status}"));
-        progress.failure = Some(reply::whole(status, answer.headers, answer.body));
+        progress.failure = Some(reply::full(status, answer.headers, answer.body));
         return Attempt::Retry;
     }
-    Attempt::Answered(reply::whole(status, answer.headers, answer.body))
+    Attempt::Answered(reply::full(status, answer.headers, answer.body))
 }
 
 /// Decides whether a failed send may be retried.
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -100,7 +100,7 @@
 ) -> Result<Reply, Infallible> {
     Ok(match role {
         Role::Callers => handle_caller(&shared, request).await,
-        Role::Metrics => reply::whole(
+        Role::Metrics => reply::full(
             StatusCode::OK,
             http::HeaderMap::new(),
             shared.metrics.render().into(),
@@ -163,7 +163,7 @@
     let result = forward(shared, parts, inbound, body, guard, &mut route).await;
     let (outcome, reply, streaming) = match result {
         Ok(reply) => {
-            let streaming = matches!(reply.body(), Body::Parts(_));
+            let streaming = matches!(reply.body(), Body::Stream(_));
             ("answered", reply, streaming)
         }
         Err(refusal) => (refusal.label(), reply::refusal(refusal, &id), false),
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -10,7 +10,7 @@
         prelude::*,
         progress::Progress,
         relocate::RunCopy,
-        reply::Part,
+        reply::BodyPart,
         shared::RunGuard,
         takeover::{EventSource, TakeoverContext, TakeoverOutcome},
     },
@@ -52,7 +52,7 @@
     original: Rc<Original>,
     /// Since when the engine has been silent; reset after each attempt to resume elsewhere.
     quiet_since: Time,
-    out: mpsc::Sender<Part>,
+    out: mpsc::Sender<BodyPart>,
     progress: Progress,
     running: RunGuard,
     sequence: Sequence,
@@ -70,7 +70,7 @@
     /// The caller's request.
     pub original: Rc<Original>,
     /// Channel to the caller's response body.
-    pub out: mpsc::Sender<Part>,
+    pub out: mpsc::Sender<BodyPart>,
     /// Attempts made so far.
     pub progress: Progress,
     /// The run at its engine.
@@ -145,7 +145,7 @@
     /// Relays events until the stream ends.
     pub async fn run(mut self, blocks: Vec<Bytes>, ended: bool) {
         let ending = self.relay(blocks, ended).await;
-        if matches!(ending, Ending::Complete) && self.out.send(Part::End).await.is_err() {
+        if matches!(ending, Ending::Complete) && self.out.send(BodyPart::End).await.is_err() {
             log::debug!(id = self.original.inbound.id; "caller disconnected at the end");
         }
         let took = clock::now().since(self.original.inbound.arrived);
@@ -276,7 +276,7 @@
         tokio::select! {
             biased;
             () = self.out.closed() => Step::CallerLeft,
-            part = self.source.answer.chunk() => self.events(part),
+            chunk = self.source.answer.chunk() => self.events(chunk),
             moved = ended(pending_move) => Step::Moved(moved),
             () = sleep(wait) => match quiet_timeout {
                 _ if wait == remaining => Step::Expired,
@@ -292,14 +292,14 @@
         Some(gap.mul_f64(QUIET_GAP_SHARE)).filter(|quiet_timeout| *quiet_timeout < SILENCE_TIMEOUT)
     }
 
-    fn events(&mut self, part: Result<Option<Bytes>, endpoint::Error>) -> Step {
-        match part {
+    fn events(&mut self, chunk: Result<Option<Bytes>, endpoint::Error>) -> Step {
+        match chunk {
             Err(error) => Step::Lost(error.to_string()),
             Ok(None) if self.source.splitter.has_partial_event() => {
                 Step::Lost("connection closed inside an event".to_string())
             }
             Ok(None) => Step::Ended,
-            Ok(Some(part)) => match self.source.splitter.feed(part) {
+            Ok(Some(chunk)) => match self.source.splitter.feed(chunk) {
                 Ok(blocks) => Step::Events(blocks),
                 Err(error) => Step::Lost(error.to_string()),
             },
@@ -314,7 +314,7 @@
             if self.sequence.has_gap() {
                 return Err(Ending::Lost("an event is missing".to_string()));
             }
-            let sent = timeout(CALLER_READ_TIMEOUT, self.out.send(Part::Data(block))).await;
+            let sent = timeout(CALLER_READ_TIMEOUT, self.out.send(BodyPart::Data(block))).await;
             if !matches!(sent, Ok(Ok(()))) {
                 return Err(Ending::CallerLeft);
             }
--- a/crates/proxy/src/relay/failover.rs
+++ b/crates/proxy/src/relay/failover.rs
@@ -66,10 +66,10 @@
 
     /// Relays the events that a stopped run had already sent.
     async fn last_events(&mut self) -> Result<(), Ending> {
-        while let Ok(Ok(Some(part))) =
+        while let Ok(Ok(Some(chunk))) =
             timeout(LAST_EVENTS_TIMEOUT, self.source.answer.chunk()).await
         {
-            let Ok(blocks) = self.source.splitter.feed(part) else {
+            let Ok(blocks) = self.source.splitter.feed(chunk) else {
                 break;
             };
             self.pass_on(blocks).await?;
--- a/crates/proxy/src/reply.rs
+++ b/crates/proxy/src/reply.rs
@@ -20,14 +20,14 @@
 pub enum Body {
     /// A complete body.
     Full(Full<Bytes>),
-    /// A streamed body. It is complete only after [`Part::End`]; if the sender is dropped
+    /// A streamed body. It is complete only after [`BodyPart::End`]; if the sender is dropped
     /// before, the connection is aborted, so that a truncated body does not look complete.
-    Parts(mpsc::Receiver<Part>),
+    Stream(mpsc::Receiver<BodyPart>),
 }
 
-/// A part of a body.
+/// A part of a streamed body.
 #[derive(Debug)]
-pub enum Part {
+pub enum BodyPart {
     /// Bytes.
     Data(Bytes),
     /// The body is complete.
@@ -58,9 +58,9 @@
             Self::Full(full) => Pin::new(full)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            Self::Parts(parts) => parts.poll_recv(cx).map(|part| match part {
-                Some(Part::Data(data)) => Some(Ok(Frame::data(data))),
-                Some(Part::End) => None,
+            Self::Stream(parts) => parts.poll_recv(cx).map(|part| match part {
+                Some(BodyPart::Data(data)) => Some(Ok(Frame::data(data))),
+                Some(BodyPart::End) => None,
                 None => Some(Err(Incomplete)),
             }),
         }
@@ -69,14 +69,14 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Full(full) => full.size_hint(),
-            Self::Parts(_) => SizeHint::default(),
+            Self::Stream(_) => SizeHint::default(),
         }
     }
 }
 
 /// A response with a complete body.
 #[must_use]
-pub fn whole(status: StatusCode, headers: http::HeaderMap, body: Bytes) -> Reply {
+pub fn full(status: StatusCode, headers: http::HeaderMap, body: Bytes) -> Reply {
     let mut reply = Response::new(Body::Full(Full::new(body)));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
@@ -86,7 +86,7 @@
 /// A response without body or headers.
 #[must_use]
 pub fn empty(status: StatusCode) -> Reply {
-    whole(status, http::HeaderMap::new(), Bytes::new())
+    full(status, http::HeaderMap::new(), Bytes::new())
 }
 
 /// The local reply for a refusal.
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -80,7 +80,7 @@
             }
             OpenOutcome::Stream(opened_stream) => {
                 let (out, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
-                let mut reply = Response::new(Body::Parts(parts));
+                let mut reply = Response::new(Body::Stream(parts));
                 *reply.headers_mut() = opened_stream.headers;
                 shared
                     .metrics
@@ -229,12 +229,12 @@
     let mut answer = answer;
     let mut splitter = EventSplitter::default();
     loop {
-        let part = match answer.chunk().await {
-            Ok(part) => part,
+        let chunk = match answer.chunk().await {
+            Ok(chunk) => chunk,
             Err(error) => return fail(shared, key, error.to_string()),
         };
-        let ended = part.is_none();
-        let blocks = match splitter.feed(part.unwrap_or_default()) {
+        let ended = chunk.is_none();
+        let blocks = match splitter.feed(chunk.unwrap_or_default()) {
             Ok(blocks) => blocks,
             Err(error) => return fail(shared, key, error.to_string()),
         };
@@ -268,7 +268,7 @@
     }
     let headers = head::response_headers(answer.headers());
     match answer.read_body(endpoint::sse::MAX_EVENT_BYTES).await {
-        Ok(body) => OpenOutcome::Answer(reply::whole(status, headers, body)),
+        Ok(body) => OpenOutcome::Answer(reply::full(status, headers, body)),
         Err(error) => fail(shared, key, error.to_string()),
     }
 }
