--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -249,7 +249,7 @@
     Ok(())
 }
 
-/// Prints the time lines of both instances in one order.
+/// Prints the timelines of both instances in one order.
 async fn timeline(demo: &Demo) -> Result<(), Error> {
     let mut entries = Vec::new();
     for instance in &demo.instances {
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -74,7 +74,7 @@
     pub(super) exchanges: SecondaryMap<request::Key, Exchange>,
     inbox: Receiver<Event>,
     inbound: Receiver<InboundRequest>,
-    pub(super) link: Option<RequestSocket>,
+    pub(super) peer_socket: Option<RequestSocket>,
     longest_iteration: Duration,
     ready: Arc<AtomicBool>,
     shared: SharedStatus,
@@ -112,8 +112,11 @@
     )
     .await?;
     let (peer_sender, peer_requests) = mpsc::channel(CHANNEL_CAPACITY);
-    let link = link(&settings, peer_sender)?;
-    let peer = link.as_ref().map(RequestSocket::address).transpose()?;
+    let peer_socket = peer_socket(&settings, peer_sender)?;
+    let peer = peer_socket
+        .as_ref()
+        .map(RequestSocket::address)
+        .transpose()?;
     start_followers(&settings, &client, clock, &events);
     let seed = rand::random();
     let instance = Instance {
@@ -128,7 +131,7 @@
         exchanges: SecondaryMap::new(),
         inbound,
         inbox,
-        link,
+        peer_socket,
         longest_iteration: Duration::ZERO,
         ready,
         shared,
@@ -183,7 +186,7 @@
     ));
 }
 
-fn link(
+fn peer_socket(
     settings: &Settings,
     requests: Sender<IncomingRequest>,
 ) -> Result<Option<RequestSocket>, Error> {
@@ -352,7 +355,7 @@
         self.perform_actions();
     }
 
-    /// Records an entry in the time line and logs it.
+    /// Records an entry in the timeline and logs it.
     pub(super) fn record(&mut self, entry: TimelineEntry) {
         let entry = TimelineEntry {
             instance: self.state.name.clone(),
@@ -451,12 +454,12 @@
     }
 }
 
-/// Locks the time line.
+/// Locks the timeline.
 pub(super) fn lock(timeline: &Mutex<Timeline>) -> std::sync::MutexGuard<'_, Timeline> {
     timeline.lock().expect("the time line lock is not poisoned")
 }
 
-/// Returns a short description of the work, for the time line.
+/// Returns a short description of the work, for the timeline.
 fn describe(work: &Work) -> String {
     match work {
         Work::Call {
--- a/crates/carawayhead/src/daemon/operator_listener.rs
+++ b/crates/carawayhead/src/daemon/operator_listener.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Returns the time line as JSON.
+/// Returns the timeline as JSON.
 #[handler]
 async fn get_timeline(depot: &mut Depot, response: &mut Response) {
     if let Ok(state) = depot.get_typed::<HandlerState>() {
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -97,7 +97,7 @@
         self.step(Event::CallerDisconnected(key));
     }
 
-    /// Appends a snapshot in parts; readers ignore it unless all parts are present.
+    /// Appends a snapshot in chunks; readers ignore it unless all chunks are present.
     fn append_snapshot(&mut self, snapshot: Snapshot) {
         self.record(TimelineEntry {
             what: "snapshot".to_string(),
@@ -106,7 +106,7 @@
         });
         let stream = self.snapshots.clone();
         tokio::spawn(async move {
-            if let Err(error) = append_parts(&stream, &snapshot).await {
+            if let Err(error) = append_chunks(&stream, &snapshot).await {
                 log::warn!(error:%; "snapshot could not be appended");
             }
         });
@@ -159,14 +159,14 @@
     }
 
     fn gossip(&self, address: &str) {
-        let (Some(link), Ok(to)) = (self.link.clone(), address.parse()) else {
+        let (Some(peer_socket), Ok(to)) = (self.peer_socket.clone(), address.parse()) else {
             return;
         };
         let (hello, clock, events) = (self.hello(), self.clock, self.events.clone());
         let timeline = Arc::clone(&self.timeline);
         tokio::spawn(async move {
             let sent_at = clock.now();
-            match link.exchange(to, &hello).await {
+            match peer_socket.exchange(to, &hello).await {
                 Ok(answer) => {
                     lock(&timeline).receive(clock.wall(), answer.hello.stamp);
                     send_event(&events, Event::PeerUpdate(peer_update(sent_at, answer))).await;
@@ -298,14 +298,14 @@
     }
 }
 
-async fn append_parts(stream: &Stream, snapshot: &Snapshot) -> Result<(), streamlog::Error> {
+async fn append_chunks(stream: &Stream, snapshot: &Snapshot) -> Result<(), streamlog::Error> {
     for part in streamlog::codec::encode_snapshot(snapshot, rand::random())? {
         stream.append(part).await?;
     }
     Ok(())
 }
 
-/// Maximum length of an outcome in the time line, in characters.
+/// Maximum length of an outcome in the timeline, in characters.
 const MAX_DETAIL_CHARS: usize = 160;
 
 fn peer_update(sent_at: Time, answer: Answer) -> PeerUpdate {
--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -63,7 +63,9 @@
             match assembly.push(&record.data) {
                 Ok(Some(snapshot)) => newest = Some(snapshot),
                 Ok(None) => {}
-                Err(error) => log::error!(offset = record.offset, error:%; "snapshot part skipped"),
+                Err(error) => {
+                    log::error!(offset = record.offset, error:%; "snapshot chunk skipped")
+                }
             }
         }
         if next >= batch.next || batch.records.is_empty() {
--- a/crates/carawayhead/src/daemon/timeline.rs
+++ b/crates/carawayhead/src/daemon/timeline.rs
@@ -1,4 +1,4 @@
-//! Time line of the recent events of an instance.
+//! Timeline of the recent events of an instance.
 
 use {
     crate::prelude::*,
@@ -13,7 +13,7 @@
 /// An event at an instance.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TimelineEntry {
-    /// Time stamp of the hybrid logical clock.
+    /// Timestamp of the hybrid logical clock.
     pub stamp: Timestamp,
     /// Name of the instance.
     pub instance: String,
@@ -70,7 +70,7 @@
 }
 
 impl Timeline {
-    /// Appends an entry and sets its time stamp.
+    /// Appends an entry and sets its timestamp.
     pub fn record(&mut self, wall: Wall, entry: TimelineEntry) {
         self.stamp = self.stamp.next(wall);
         self.entries.push_back(TimelineEntry {
@@ -88,7 +88,7 @@
         self.stamp = self.stamp.receive(other, wall);
     }
 
-    /// Advances the clock and returns the time stamp for a message to send.
+    /// Advances the clock and returns the timestamp for a message to send.
     pub const fn send(&mut self, wall: Wall) -> Timestamp {
         self.stamp = self.stamp.next(wall);
         self.stamp
