--- a/crates/caller/src/generation.rs
+++ b/crates/caller/src/generation.rs
@@ -40,7 +40,7 @@
     Problem::from(error).write_openai(response);
 }
 
-/// Response format that the caller asked for.
+/// Response format that the caller requested.
 struct ResponseFormat {
     chat: bool,
     prompt: u32,
--- a/crates/caller/src/inbound.rs
+++ b/crates/caller/src/inbound.rs
@@ -8,7 +8,7 @@
 /// A caller's request with the channel for its response.
 #[derive(Debug)]
 pub struct InboundRequest {
-    /// What is requested.
+    /// Kind of the request.
     pub kind: RequestKind,
     /// BLAKE3 hash of the caller's key.
     pub credential: [u8; 32],
@@ -20,7 +20,7 @@
     pub timeout: Option<Duration>,
 }
 
-/// What is requested, with the data to forward to the endpoint.
+/// Kind of a request, with the data to forward to the endpoint.
 #[derive(Debug)]
 pub enum RequestKind {
     /// A call of a plain service.
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -13,7 +13,7 @@
 /// Total size of the records in one answer.
 const MAX_REPLY_BYTES: usize = 64 << 10;
 
-/// Number of peers in other failure domains that are asked in turn.
+/// Number of peers in other failure domains that are queried in turn.
 const MAX_REMOTE_PEERS: usize = 4;
 
 /// How far an instance has read the configuration stream.
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The peers to ask in this round: one in the own failure domain, one in another.
+    /// The peers to query in this round: one in the own failure domain, one in another.
     pub(crate) fn gossip_peers(&self, round: u64) -> Vec<&Peer> {
         let mut selected = Vec::new();
         selected.extend(self.next_local_peer());
--- a/crates/decision/src/invariant.rs
+++ b/crates/decision/src/invariant.rs
@@ -13,7 +13,8 @@
     ConfigForward,
     /// A disabled failure domain, or an endpoint shutting down, gets no new requests.
     OutGetsNothing,
-    /// A non-idempotent request is sent at most once.
+    /// A non-idempotent request is not dispatched again without evidence that the earlier attempt
+    /// did not run. Retries at an endpoint that deduplicates orders are not checked.
     SentOnce,
     /// Tokens are delivered in order and once, from one generation.
     TokenOrder,
--- a/crates/explain/src/request.rs
+++ b/crates/explain/src/request.rs
@@ -31,7 +31,7 @@
     why: String,
 }
 
-/// State of one request, as far as its log lines tell.
+/// State of one request, derived from its log lines.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Request {
     /// Cause of its end, once a line reported it.
--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! State of one endpoint, as this instance knows it.
+//! State of one endpoint, as seen by this instance.
 
 use crate::{load::digest, prelude::*, rate_limit::RateLimiter};
 
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -22,7 +22,7 @@
 /// reports a lower position.
 const AGGREGATED_RELAY_DELAY: Duration = Duration::from_millis(500);
 
-/// How far an instance knows a topic, as it reports to peers.
+/// Position in a topic that an instance reports to peers, and the age of its data.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Watermark {
     /// Age of its knowledge when it sent the report; `None` if it has none.
@@ -98,7 +98,7 @@
     }
 }
 
-/// What this instance knows of a topic.
+/// State of a topic at this instance.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalTopic<'a> {
     /// Maximum age of a peer's watermark before this instance reads by itself.
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -30,7 +30,7 @@
     Set(Listing),
 }
 
-/// What an instance knows.
+/// State of an instance.
 #[derive(Debug)]
 pub struct State {
     /// Budget for retries.
--- a/crates/operator/src/reader.rs
+++ b/crates/operator/src/reader.rs
@@ -335,7 +335,7 @@
     }
 }
 
-/// What [`is_identifier`] accepts, as fault text.
+/// Describes the identifiers that [`is_identifier`] accepts, for faults.
 pub const IDENTIFIER_RULE: &str = "1 to 64 letters, digits, '-', '_' or '.'";
 
 /// Whether `text` is a valid identifier.
