--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -63,9 +63,7 @@
             match assembly.push(&record.data) {
                 Ok(Some(snapshot)) => newest = Some(snapshot),
                 Ok(None) => {}
-                Err(error) => {
-                    log::error!(offset = record.offset, error:%; "snapshot chunk skipped")
-                }
+                Err(error) => log::error!(offset = record.offset, error:%; "snapshot part skipped"),
             }
         }
         if next >= batch.next || batch.records.is_empty() {
