--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -74,7 +74,7 @@
     pub(super) exchanges: SecondaryMap<request::Key, Exchange>,
     inbox: Receiver<Event>,
     inbound: Receiver<InboundRequest>,
-    pub(super) link: Option<RequestSocket>,
+    pub(super) peer_socket: Option<RequestSocket>,
     longest_iteration: Duration,
     ready: Arc<AtomicBool>,
     shared: SharedStatus,
@@ -112,8 +112,11 @@
     )
     .await?;
     let (peer_sender, peer_requests) = mpsc::channel(CHANNEL_CAPACITY);
-    let link = link(&settings, peer_sender)?;
-    let peer = link.as_ref().map(RequestSocket::address).transpose()?;
+    let peer_socket = peer_socket(&settings, peer_sender)?;
+    let peer = peer_socket
+        .as_ref()
+        .map(RequestSocket::address)
+        .transpose()?;
     start_followers(&settings, &client, clock, &events);
     let seed = rand::random();
     let instance = Instance {
@@ -128,7 +131,7 @@
         exchanges: SecondaryMap::new(),
         inbound,
         inbox,
-        link,
+        peer_socket,
         longest_iteration: Duration::ZERO,
         ready,
         shared,
@@ -183,7 +186,7 @@
     ));
 }
 
-fn link(
+fn peer_socket(
     settings: &Settings,
     requests: Sender<IncomingRequest>,
 ) -> Result<Option<RequestSocket>, Error> {
@@ -228,7 +231,7 @@
             tokio::select! {
                 Some(event) = self.inbox.recv() => self.handle_events(event),
                 Some(inbound) = self.inbound.recv() => self.handle_request(inbound),
-                Some(asked) = self.peer_requests.recv() => self.answer_peer(asked),
+                Some(request) = self.peer_requests.recv() => self.answer_peer(request),
                 _ = tick.tick() => self.tick(),
                 () = drain_requested(&mut drain_request) => {
                     drain_request = None;
@@ -310,7 +313,7 @@
         let closed = self
             .exchanges
             .iter()
-            .filter(|(_, exchange)| exchange.outlet.is_closed());
+            .filter(|(_, exchange)| exchange.event_sender.is_closed());
         let closed = closed.map(|(key, _)| key).collect::<Vec<_>>();
         for key in closed {
             self.step(Event::CallerDisconnected(key));
@@ -352,7 +355,7 @@
         self.perform_actions();
     }
 
-    /// Records an entry in the time line and logs it.
+    /// Records an entry in the timeline and logs it.
     pub(super) fn record(&mut self, entry: TimelineEntry) {
         let entry = TimelineEntry {
             instance: self.state.name.clone(),
@@ -382,29 +385,29 @@
     }
 
     /// Answers a peer instance with the records that it lacks.
-    fn answer_peer(&self, asked: IncomingRequest) {
-        lock(&self.timeline).receive(self.clock.wall(), asked.hello.stamp);
-        let next = asked.hello.next;
-        let lines = self.state.history.records_from(next).into_iter();
+    fn answer_peer(&self, request: IncomingRequest) {
+        lock(&self.timeline).receive(self.clock.wall(), request.hello.stamp);
+        let next = request.hello.next;
+        let records = self.state.history.records_from(next).into_iter();
         let own = self.state.config.next();
         let lacking = self.state.history.needs_snapshot(next, own) && self.state.config.complete();
         let answer = peer::Answer {
             hello: self.hello(),
             snapshot: lacking.then(|| self.state.config.snapshot()),
-            records: lines
+            records: records
                 .map(|(offset, data)| peer::Record {
                     data: data.to_vec(),
                     offset,
                 })
                 .collect(),
         };
-        if asked.reply.send(answer).is_err() {
-            log::debug!(fellow = asked.hello.name; "peer instance disconnected before it was answered");
+        if request.reply.send(answer).is_err() {
+            log::debug!(fellow = request.hello.name; "peer instance disconnected before it was answered");
         }
     }
 
-    fn work(&self, ask: &RequestKind) -> Work {
-        match ask {
+    fn work(&self, request_kind: &RequestKind) -> Work {
+        match request_kind {
             RequestKind::Call {
                 order,
                 payload,
@@ -451,12 +454,12 @@
     }
 }
 
-/// Locks the time line.
+/// Locks the timeline.
 pub(super) fn lock(timeline: &Mutex<Timeline>) -> std::sync::MutexGuard<'_, Timeline> {
     timeline.lock().expect("the time line lock is not poisoned")
 }
 
-/// Returns a short description of the work, for the time line.
+/// Returns a short description of the work, for the timeline.
 fn describe(work: &Work) -> String {
     match work {
         Work::Call {
--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -41,7 +41,7 @@
                     let sent = self
                         .exchanges
                         .get(key)
-                        .map(|to| to.outlet.try_send(ResponseEvent::Token(index, data)));
+                        .map(|to| to.event_sender.try_send(ResponseEvent::Token(index, data)));
                     if let Some(Err(error)) = sent {
                         failed.push((key, error));
                     }
@@ -79,9 +79,9 @@
 
     /// Disconnects a caller that left, or whose buffer is full because it reads too slowly.
     ///
-    /// The connection is closed once the buffered pieces are sent. The generation is kept for
-    /// the grace time, so that the caller can resume it with `Last-Event-ID`. This bounds the
-    /// memory used for slow callers.
+    /// The connection is closed once the buffered response events are sent. The generation is
+    /// kept for the grace time, so that the caller can resume it with `Last-Event-ID`. This
+    /// bounds the memory used for slow callers.
     fn disconnect_caller(
         &mut self,
         key: request::Key,
@@ -92,12 +92,12 @@
                 log::warn!(request:% = exchange.id; "disconnecting a caller that reads too slowly: response buffer full");
             }
             let (closed, _) = mpsc::channel(1);
-            exchange.outlet = closed;
+            exchange.event_sender = closed;
         }
         self.step(Event::CallerDisconnected(key));
     }
 
-    /// Appends a snapshot in parts; readers ignore it unless all parts are present.
+    /// Appends a snapshot in chunks; readers ignore it unless all chunks are present.
     fn append_snapshot(&mut self, snapshot: Snapshot) {
         self.record(TimelineEntry {
             what: "snapshot".to_string(),
@@ -106,7 +106,7 @@
         });
         let stream = self.snapshots.clone();
         tokio::spawn(async move {
-            if let Err(error) = append_parts(&stream, &snapshot).await {
+            if let Err(error) = append_chunks(&stream, &snapshot).await {
                 log::warn!(error:%; "snapshot could not be appended");
             }
         });
@@ -144,14 +144,14 @@
                 .collect(),
             ..TimelineEntry::default()
         });
-        if let Err(mpsc::error::TrySendError::Full(piece)) =
-            exchange.outlet.try_send(ResponseEvent::End(outcome))
+        if let Err(mpsc::error::TrySendError::Full(event)) =
+            exchange.event_sender.try_send(ResponseEvent::End(outcome))
         {
             // The buffer is full of unread tokens. The end is sent once there is room for it,
             // because without it a complete answer would look truncated.
-            let outlet = exchange.outlet.clone();
+            let event_sender = exchange.event_sender.clone();
             tokio::spawn(async move {
-                if outlet.send(piece).await.is_err() {
+                if event_sender.send(event).await.is_err() {
                     log::debug!("caller disconnected before the end of its answer");
                 }
             });
@@ -159,17 +159,17 @@
     }
 
     fn gossip(&self, address: &str) {
-        let (Some(link), Ok(to)) = (self.link.clone(), address.parse()) else {
+        let (Some(peer_socket), Ok(to)) = (self.peer_socket.clone(), address.parse()) else {
             return;
         };
         let (hello, clock, events) = (self.hello(), self.clock, self.events.clone());
         let timeline = Arc::clone(&self.timeline);
         tokio::spawn(async move {
-            let asked = clock.now();
-            match link.exchange(to, &hello).await {
+            let sent_at = clock.now();
+            match peer_socket.exchange(to, &hello).await {
                 Ok(answer) => {
                     lock(&timeline).receive(clock.wall(), answer.hello.stamp);
-                    send_event(&events, Event::PeerUpdate(peer_update(asked, answer))).await;
+                    send_event(&events, Event::PeerUpdate(peer_update(sent_at, answer))).await;
                 }
                 Err(error) => log::debug!(address:% = to, error:%; "gossip exchange failed"),
             }
@@ -234,7 +234,7 @@
         let Some(exchange) = self.exchanges.get_mut(attempt.request) else {
             return;
         };
-        let task = match &mut exchange.ask {
+        let task = match &mut exchange.request_kind {
             RequestKind::Call { payload, .. } => {
                 let call = service::Call {
                     attempt,
@@ -283,8 +283,8 @@
             detail: format!("as {}", attempt.generation),
             ..TimelineEntry::default()
         };
-        let piece = ResponseEvent::Started(name, attempt.generation);
-        if exchange.outlet.try_send(piece).is_err() {
+        let event = ResponseEvent::Started(name, attempt.generation);
+        if exchange.event_sender.try_send(event).is_err() {
             log::debug!(request:% = exchange.id; "endpoint name not delivered: caller disconnected or response buffer full");
         }
         self.record(entry);
@@ -298,26 +298,26 @@
     }
 }
 
-async fn append_parts(stream: &Stream, snapshot: &Snapshot) -> Result<(), streamlog::Error> {
+async fn append_chunks(stream: &Stream, snapshot: &Snapshot) -> Result<(), streamlog::Error> {
     for part in streamlog::codec::encode_snapshot(snapshot, rand::random())? {
         stream.append(part).await?;
     }
     Ok(())
 }
 
-/// Maximum length of an outcome in the time line, in characters.
+/// Maximum length of an outcome in the timeline, in characters.
 const MAX_DETAIL_CHARS: usize = 160;
 
-fn peer_update(asked: Time, answer: Answer) -> PeerUpdate {
-    let lines = answer.records.into_iter();
+fn peer_update(sent_at: Time, answer: Answer) -> PeerUpdate {
+    let records = answer.records.into_iter();
     PeerUpdate {
-        asked,
+        sent_at,
         watermark: Watermark {
             age: answer.hello.age_ms.map(Duration::from_millis),
             next: answer.hello.next,
         },
-        records: lines
-            .map(|line| tail::config_record(line.offset, &Bytes::from(line.data)))
+        records: records
+            .map(|record| tail::config_record(record.offset, &Bytes::from(record.data)))
             .collect(),
         snapshot: answer.snapshot,
     }
--- a/crates/carawayhead/tests/forwarding/knowledge.rs
+++ b/crates/carawayhead/tests/forwarding/knowledge.rs
@@ -114,7 +114,7 @@
             .await;
         }
         let peer_batches =
-            |instance: &Instance| instance.log_lines_containing("records of a fellow").len();
+            |instance: &Instance| instance.log_lines_containing("records of a peer").len();
         peer_batches(&one) + peer_batches(&two) > 0
     })
     .await;
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -9,8 +9,8 @@
         listen::RequestGuard,
         prelude::*,
         progress::Progress,
-        relocate::Takeover,
-        reply::Part,
+        relocate::RunCopy,
+        reply::BodyPart,
         shared::RunGuard,
         takeover::{EventSource, TakeoverContext, TakeoverOutcome},
     },
@@ -52,7 +52,7 @@
     original: Rc<Original>,
     /// Since when the engine has been silent; reset after each attempt to resume elsewhere.
     quiet_since: Time,
-    out: mpsc::Sender<Part>,
+    out: mpsc::Sender<BodyPart>,
     progress: Progress,
     running: RunGuard,
     sequence: Sequence,
@@ -70,7 +70,7 @@
     /// The caller's request.
     pub original: Rc<Original>,
     /// Channel to the caller's response body.
-    pub out: mpsc::Sender<Part>,
+    pub out: mpsc::Sender<BodyPart>,
     /// Attempts made so far.
     pub progress: Progress,
     /// The run at its engine.
@@ -145,7 +145,7 @@
     /// Relays events until the stream ends.
     pub async fn run(mut self, blocks: Vec<Bytes>, ended: bool) {
         let ending = self.relay(blocks, ended).await;
-        if matches!(ending, Ending::Complete) && self.out.send(Part::End).await.is_err() {
+        if matches!(ending, Ending::Complete) && self.out.send(BodyPart::End).await.is_err() {
             log::debug!(id = self.original.inbound.id; "caller disconnected at the end");
         }
         let took = clock::now().since(self.original.inbound.arrived);
@@ -213,13 +213,13 @@
         if pending_move.is_some() || now < self.next_move || !self.is_leaving() {
             return;
         }
-        if self.backup_takeover().is_none() && self.ends_soon() {
+        if self.backup_copy().is_none() && self.ends_soon() {
             // Copying it would take bandwidth from runs that cannot end in time.
             return;
         }
         log::info!(id = self.original.inbound.id, events = self.sequence.count(); "move begins");
         *pending_move = Some(Box::pin(
-            self.takeover_context().move_run(self.backup_takeover()),
+            self.takeover_context().move_run(self.backup_copy()),
         ));
     }
 
@@ -229,21 +229,18 @@
         if pending_move.is_some() {
             return;
         }
-        if let Some(takeover) = self.healthy_takeover() {
-            *pending_move = Some(Box::pin(
-                self.takeover_context().take_over(takeover, "quiet"),
-            ));
+        if let Some(copy) = self.healthy_backup_copy() {
+            *pending_move = Some(Box::pin(self.takeover_context().take_over(copy, "quiet")));
         }
     }
 
     /// The backup copy, if its engine is healthy.
-    fn healthy_takeover(&self) -> Option<Takeover> {
+    fn healthy_backup_copy(&self) -> Option<RunCopy> {
         let healthy = {
             let state = self.shared.state.borrow();
             state.healthy_backup(clock::now(), self.running.key)
         };
-        self.backup_takeover()
-            .filter(|takeover| Some(takeover.key) == healthy)
+        self.backup_copy().filter(|copy| Some(copy.key) == healthy)
     }
 
     /// The data that a takeover needs, without the stream itself.
@@ -279,7 +276,7 @@
         tokio::select! {
             biased;
             () = self.out.closed() => Step::CallerLeft,
-            part = self.source.answer.chunk() => self.events(part),
+            chunk = self.source.answer.chunk() => self.events(chunk),
             moved = ended(pending_move) => Step::Moved(moved),
             () = sleep(wait) => match quiet_timeout {
                 _ if wait == remaining => Step::Expired,
@@ -295,14 +292,14 @@
         Some(gap.mul_f64(QUIET_GAP_SHARE)).filter(|quiet_timeout| *quiet_timeout < SILENCE_TIMEOUT)
     }
 
-    fn events(&mut self, part: Result<Option<Bytes>, endpoint::Error>) -> Step {
-        match part {
+    fn events(&mut self, chunk: Result<Option<Bytes>, endpoint::Error>) -> Step {
+        match chunk {
             Err(error) => Step::Lost(error.to_string()),
             Ok(None) if self.source.splitter.has_partial_event() => {
                 Step::Lost("connection closed inside an event".to_string())
             }
             Ok(None) => Step::Ended,
-            Ok(Some(part)) => match self.source.splitter.feed(part) {
+            Ok(Some(chunk)) => match self.source.splitter.feed(chunk) {
                 Ok(blocks) => Step::Events(blocks),
                 Err(error) => Step::Lost(error.to_string()),
             },
@@ -317,7 +314,7 @@
             if self.sequence.has_gap() {
                 return Err(Ending::Lost("an event is missing".to_string()));
             }
-            let sent = timeout(CALLER_READ_TIMEOUT, self.out.send(Part::Data(block))).await;
+            let sent = timeout(CALLER_READ_TIMEOUT, self.out.send(BodyPart::Data(block))).await;
             if !matches!(sent, Ok(Ok(()))) {
                 return Err(Ending::CallerLeft);
             }
