--- a/crates/carawayhead/src/command/forward.rs
+++ b/crates/carawayhead/src/command/forward.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// Runs a forwarding instance until it is stopped by a signal.
+/// Runs a forwarding instance until it is drained after a signal.
 ///
 /// # Errors
 ///
--- a/crates/carawayhead/src/command/serve.rs
+++ b/crates/carawayhead/src/command/serve.rs
@@ -37,7 +37,7 @@
     if running.drain.send(()).is_err() {
         return Ok(());
     }
-    // A second signal stops the process without waiting for requests in progress.
+    // A second signal ends draining at once, also with requests in progress.
     tokio::select! {
       _ = terminate.recv() => log::warn!("second signal received: stopping with requests in progress"),
       _ = interrupt.recv() => log::warn!("second signal received: stopping with requests in progress"),
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -269,7 +269,7 @@
         let idle = self.exchanges.is_empty() && self.inbound.is_empty();
         let notice_passed = since.elapsed() >= self.drain_notice;
         // While the log is unavailable, pending entries cannot be appended. The timeout keeps
-        // an outage of the log from blocking the shutdown.
+        // an outage of the log from blocking the exit.
         let flushed =
             self.state.appends.is_empty() || since.elapsed() >= self.drain_notice + FLUSH_TIMEOUT;
         idle && notice_passed && flushed
--- a/crates/carawayhead/tests/forwarding/answers.rs
+++ b/crates/carawayhead/tests/forwarding/answers.rs
@@ -214,7 +214,7 @@
 /// After SIGTERM an instance reports that it is not ready, still serves requests on its
 /// listener, and exits by itself.
 #[tokio::test]
-async fn stopping_instance_exits_after_its_last_request() {
+async fn draining_instance_exits_after_its_last_request() {
     let service = PlainService::start("d1").await;
     let (_store, mut instance) = deployment(&[&service]).await;
     instance.signal(rustix::process::Signal::TERM);
@@ -244,10 +244,10 @@
     assert_eq!(instance.log_lines_containing("\"stopped\"").len(), 1);
 }
 
-/// Orders arrive until a stopping instance has exited. An order accepted just before the exit
+/// Orders arrive until a draining instance has exited. An order accepted just before the exit
 /// must not be sent to the service and then cut off: each order that ran is answered.
 #[tokio::test]
-async fn orders_run_during_shutdown_are_answered() {
+async fn orders_run_by_draining_instance_are_answered() {
     let service = PlainService::start("d1").await;
     let (_store, mut instance) = deployment(&[&service]).await;
     service.set_behavior(ServiceBehavior::Slow);
--- a/crates/carawayhead/tests/leaving.rs
+++ b/crates/carawayhead/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Planned stops, disabled failure domains, and endpoints that leave or start cold.
+//! Draining instances, disabled failure domains, and endpoints that leave or start cold.
 
 mod common;
 
@@ -13,9 +13,9 @@
     },
 };
 
-/// An instance that receives SIGTERM completes its running streams before it exits.
+/// After SIGTERM an instance drains: it completes its running streams before it exits.
 #[tokio::test]
-async fn planned_stop_completes_running_streams() {
+async fn draining_instance_completes_running_streams() {
     let mut cluster = Builder {
         engine_flags: vec!["--step-base=20000"],
         ..Builder::default()
@@ -198,7 +198,7 @@
 /// An instance receives SIGTERM while a caller is still sending a request body. The
 /// connection must stay open until the request is answered.
 #[tokio::test]
-async fn partially_received_request_is_answered_during_planned_stop() {
+async fn draining_instance_answers_partially_received_request() {
     let cluster = Builder::default().start().await;
     let body = json!({"model": "survey", "prompt": "tokens=2"}).to_string();
     let head = format!(
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -91,7 +91,7 @@
                 Mode::Faults | Mode::Planned => self.apply_planned_change(deployment),
             }
         }
-        // A stopping instance takes up to its grace time to exit before it can be restarted.
+        // A draining instance takes up to its grace time to exit before it can be restarted.
         while !self.pending_undos.is_empty() {
             self.undo_due(deployment, Instant::now() + UNDO_ALL_HORIZON)
                 .await;
@@ -222,10 +222,10 @@
     /// Stops an instance unless it would leave none running.
     fn stop_instance(&mut self, deployment: &Deployment, signal: Signal) {
         let index = self.random.random_range(0..deployment.slots.len());
-        let stopping = (0..deployment.slots.len())
+        let stopped = (0..deployment.slots.len())
             .filter(|slot| self.is_stopped(*slot))
             .count();
-        if self.is_stopped(index) || stopping + 1 >= deployment.slots.len() {
+        if self.is_stopped(index) || stopped + 1 >= deployment.slots.len() {
             return;
         }
         deployment.slots[index].signal(signal);
