--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -456,7 +456,7 @@
 
 /// Locks the timeline.
 pub(super) fn lock(timeline: &Mutex<Timeline>) -> std::sync::MutexGuard<'_, Timeline> {
-    timeline.lock().expect("the time line lock is not poisoned")
+    timeline.lock().expect("the timeline lock is not poisoned")
 }
 
 /// Returns a short description of the work, for the timeline.
--- a/crates/carawayhead/src/daemon/metrics.rs
+++ b/crates/carawayhead/src/daemon/metrics.rs
@@ -74,7 +74,7 @@
     gauge(
         "claims_unsettled",
         "claim entries not yet known to be in the log",
-        |s| s.batch as u64,
+        |s| s.pending_appends as u64,
     );
     gauge(
         "config_next_offset",
@@ -92,7 +92,7 @@
     gauge(
         "longest_turn_microseconds",
         "longest turn of the loop of late",
-        |s| s.longest_turn,
+        |s| s.longest_iteration,
     );
     gauge("peers", "entry instances in the instance list", |s| {
         s.peers as u64
--- a/crates/carawayhead/src/daemon/status.rs
+++ b/crates/carawayhead/src/daemon/status.rs
@@ -8,8 +8,8 @@
 /// Figures of the event loop, refreshed on every tick.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// Claim entries that are not yet known to be in the claim stream.
-    pub batch: usize,
+    /// Entries that are not yet known to be in the claim stream.
+    pub pending_appends: usize,
     /// Requests that wait for an endpoint.
     pub backlog: usize,
     /// Number of invariant checks.
@@ -22,8 +22,9 @@
     pub config_next: u64,
     /// Endpoints in the instance list.
     pub endpoints: usize,
-    /// Longest iteration of the event loop since the tick before last, in microseconds.
-    pub longest_turn: u64,
+    /// Longest time that the event loop spent on a tick or on queued events, from the tick before
+    /// last to the last one, in microseconds.
+    pub longest_iteration: u64,
     /// Name of the instance.
     pub name: String,
     /// Entry instances in the instance list.
@@ -43,16 +44,16 @@
 impl Status {
     /// Collects the figures of a state.
     #[must_use]
-    pub fn of(state: &State, now: Time, ready: bool, longest_turn: u64) -> Self {
+    pub fn of(state: &State, now: Time, ready: bool, longest_iteration: u64) -> Self {
         let age = state.staleness(now).map(|age| age.as_millis());
         Self {
             backlog: state.backlog.len(),
-            batch: state.appends.len(),
+            pending_appends: state.appends.len(),
             checks: state.invariants.checks(),
             claims: state.claims.len(),
             config_next: state.config.next(),
             endpoints: state.endpoints.len(),
-            longest_turn,
+            longest_iteration,
             name: state.name.clone(),
             peers: state.peers.len(),
             ready,
@@ -74,7 +75,7 @@
           "backlog": self.backlog,
           "claims_known": self.claims,
           "claims_lost": self.stats.claims_lost,
-          "claims_unsettled": self.batch,
+          "claims_unsettled": self.pending_appends,
           "config_next_offset": self.config_next,
           "config_stale_ms": self.stale_ms,
           "endpoints": self.endpoints,
@@ -82,7 +83,7 @@
           "invariant_checks": self.checks,
           "invariant_violations": violations.collect::<serde_json::Map<_, _>>(),
           "late_events": self.stats.late,
-          "longest_turn_us": self.longest_turn,
+          "longest_turn_us": self.longest_iteration,
           "may_have_run": self.stats.may_have_run,
           "not_run": self.stats.not_run,
           "peers": self.peers,
@@ -92,7 +93,7 @@
           "retried": self.stats.retried,
           "sent": self.stats.sent,
           "tokens": self.stats.tokens,
-            "usable": self.usable,
+          "usable": self.usable,
         })
     }
 }
