--- a/crates/carawayhead/src/daemon/perform.rs
+++ b/crates/carawayhead/src/daemon/perform.rs
@@ -77,11 +77,12 @@
         }
     }
 
-    /// Disconnects a caller that left, or whose buffer is full because it reads too slowly.
+    /// Handles a response event that could not be delivered, because the caller has disconnected
+    /// or reads too slowly and its buffer is full.
     ///
-    /// The connection is closed once the buffered response events are sent. The generation is
-    /// kept for the grace time, so that the caller can resume it with `Last-Event-ID`. This
-    /// bounds the memory used for slow callers.
+    /// The connection of a slow caller is closed once the buffered events are sent, which bounds
+    /// the memory used for it. The generation is kept for the grace time, so that the caller can
+    /// resume it with `Last-Event-ID`.
     fn disconnect_caller(
         &mut self,
         key: request::Key,
@@ -148,7 +149,7 @@
             exchange.event_sender.try_send(ResponseEvent::End(outcome))
         {
             // The buffer is full of unread tokens. The end is sent once there is room for it,
-            // because without it a complete answer would look truncated.
+            // as a complete answer without it would look truncated.
             let event_sender = exchange.event_sender.clone();
             tokio::spawn(async move {
                 if event_sender.send(event).await.is_err() {
@@ -265,8 +266,8 @@
         exchange.attach(task.abort_handle());
     }
 
-    /// Records which endpoint a request was sent to, and passes it on to the response for its
-    /// resume handle.
+    /// Records in the timeline which endpoint an attempt uses, and sends the endpoint's name and
+    /// the generation id to the caller's handler, which builds the resume handle from them.
     fn record_attempt(&mut self, what: &str, attempt: Attempt, endpoint: target::Key) {
         let (Some(exchange), Some(target)) = (
             self.exchanges.get(attempt.request),
@@ -299,8 +300,8 @@
 }
 
 async fn append_chunks(stream: &Stream, snapshot: &Snapshot) -> Result<(), streamlog::Error> {
-    for part in streamlog::codec::encode_snapshot(snapshot, rand::random())? {
-        stream.append(part).await?;
+    for chunk in streamlog::codec::encode_snapshot(snapshot, rand::random())? {
+        stream.append(chunk).await?;
     }
     Ok(())
 }
--- a/crates/carawayhead/src/daemon/tail.rs
+++ b/crates/carawayhead/src/daemon/tail.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads the newest complete snapshot.
+/// Reads the newest complete snapshot; `None` if there is none or the log cannot be read.
 pub async fn newest_snapshot(stream: &Stream) -> Option<Snapshot> {
     let mut assembly = codec::SnapshotAssembler::default();
     let mut newest = None;
@@ -131,7 +131,8 @@
     }
 }
 
-/// Reads the instance list every `interval` and reports changes as events.
+/// Reads the instance list, pausing for `interval` after each read, and reports changes as
+/// events.
 pub async fn list(client: Client, address: String, interval: Duration, events: Sender<Event>) {
     let mut reader = list::Reader::new(client, address);
     while !events.is_closed() {
--- a/crates/endpoint/src/prelude.rs
+++ b/crates/endpoint/src/prelude.rs
@@ -1,4 +1,4 @@
-//! Names that most modules of this package use.
+//! Common imports of this package.
 
 pub use {
     crate::{client::Client, error::Error},
--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -48,7 +48,7 @@
     send_event(&events, event).await;
 }
 
-/// Whether the status says that another endpoint may be tried.
+/// Whether the status allows a retry at another endpoint.
 ///
 /// Only used for idempotent calls: the status does not prove that the service rejected the
 /// call before running it.
