--- a/crates/endpoint/src/service.rs
+++ b/crates/endpoint/src/service.rs
@@ -18,9 +18,9 @@
     /// Whether the call may be repeated safely.
     pub idempotent: bool,
     /// Idempotency key, forwarded in case the service deduplicates by it.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The `Content-Type`.
-    pub media: String,
+    pub content_type: String,
     /// The method.
     pub method: Method,
     /// Path and query at the service.
@@ -62,10 +62,10 @@
         .uri(call.path)
         .header(http::header::HOST, address)
         .header(TIMEOUT_HEADER, format_seconds(call.wait));
-    if !call.media.is_empty() {
-        request = request.header(http::header::CONTENT_TYPE, call.media);
+    if !call.content_type.is_empty() {
+        request = request.header(http::header::CONTENT_TYPE, call.content_type);
     }
-    if let Some(key) = call.key {
+    if let Some(key) = call.idempotency_key {
         request = request.header("idempotency-key", key);
     }
     let request = request.body(Full::new(call.body))?;
