--- a/crates/carawayhead/tests/soak/main.rs
+++ b/crates/carawayhead/tests/soak/main.rs
@@ -60,11 +60,11 @@
     let mut violations = Vec::new();
     for seed in seeds {
         println!("seed {seed}");
-        let faults = run_seed(seed, length).await;
-        for fault in &faults {
-            println!("seed {seed}: {fault}");
+        let violated = run_seed(seed, length).await;
+        for violation in &violated {
+            println!("seed {seed}: {violation}");
         }
-        violations.extend(faults);
+        violations.extend(violated);
     }
     assert!(violations.is_empty(), "{violations:#?}");
 }
@@ -109,7 +109,7 @@
     let answered = records.iter().filter(|record| answered(record)).count();
     println!(
         "seed {seed}: {mode:?}, {} changes, {} requests, {answered} answered, {} broken",
-        injector.faults,
+        injector.changes,
         records.len(),
         violations.len()
     );
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -47,7 +47,7 @@
 pub struct FaultInjector {
     pub addresses: watch::Sender<Vec<SocketAddr>>,
     /// Number of changes so far, for the report.
-    pub faults: u32,
+    pub changes: u32,
     /// Revoked keys with the times of their revocation and restoration.
     pub revoked: Vec<(&'static str, Instant, Option<Instant>)>,
     random: SmallRng,
@@ -60,7 +60,7 @@
         let (addresses, listening) = watch::channel(Vec::new());
         let injector = Self {
             addresses,
-            faults: 0,
+            changes: 0,
             random,
             revoked: Vec::new(),
             mode,
@@ -85,7 +85,7 @@
         while Instant::now() < end {
             sleep(Duration::from_millis(self.random.random_range(50..350))).await;
             self.undo_due(deployment, Instant::now()).await;
-            self.faults += 1;
+            self.changes += 1;
             match self.mode {
                 Mode::Faults if self.random.random_bool(0.7) => self.inject_fault(deployment).await,
                 Mode::Faults | Mode::Planned => self.apply_planned_change(deployment),
