--- a/crates/carawayhead/src/command/demo.rs
+++ b/crates/carawayhead/src/command/demo.rs
@@ -157,8 +157,8 @@
     let mut tokens = 0;
     let mut done = false;
     print!("  ");
-    while let Some(part) = reply.chunk().await.map_err(streamlog::Error::from)? {
-        for event in parser.feed(part).map_err(streamlog::Error::from)? {
+    while let Some(chunk) = reply.chunk().await.map_err(streamlog::Error::from)? {
+        for event in parser.feed(chunk).map_err(streamlog::Error::from)? {
             done |= event.data == "[DONE]";
             tokens += usize::from(event.index == Some(u32::try_from(tokens).unwrap_or(u32::MAX)));
             let token = serde_json::from_slice::<Value>(&event.data).unwrap_or_default();
@@ -208,7 +208,7 @@
     Ok(())
 }
 
-/// Drains a failure domain and sends requests through the instance in it.
+/// Drains a failure domain and checks that requests through the instance in it run elsewhere.
 async fn drain_domain(demo: &Demo) -> Result<(), Error> {
     let stream = publish::config_stream(&demo.log);
     let published = Instant::now();
@@ -259,7 +259,7 @@
         entries.extend(serde_json::from_value::<Vec<TimelineEntry>>(body).unwrap_or_default());
     }
     entries.sort();
-    ensure(!entries.is_empty(), "the time line is empty")?;
+    ensure(!entries.is_empty(), "the timeline is empty")?;
     for entry in entries {
         let line = entry.to_string();
         println!("   {}", line.chars().take(150).collect::<String>());
--- a/crates/carawayhead/src/command/publish.rs
+++ b/crates/carawayhead/src/command/publish.rs
@@ -105,7 +105,7 @@
     /// Result of applying the record.
     pub applied: ApplyResult,
     /// The record as stored in the log.
-    pub entry: LogRecord,
+    pub stored: LogRecord,
 }
 
 /// The result of reading the stream from its first available record to its end.
@@ -122,13 +122,13 @@
         let mut records = self
             .records
             .iter()
-            .filter(|record| record.entry.offset >= from);
+            .filter(|record| record.stored.offset >= from);
         let record = records.find(|record| {
-            String::from_utf8_lossy(&record.entry.data)
+            String::from_utf8_lossy(&record.stored.data)
                 .trim_end()
                 .ends_with(marker)
         })?;
-        Some((record.entry.offset, &record.applied))
+        Some((record.stored.offset, &record.applied))
     }
 }
 
@@ -142,14 +142,14 @@
     let mut replay = Replay::default();
     let mut next = 0;
     loop {
-        let part = stream.read(next, Duration::ZERO).await?;
-        if part.first > next {
+        let batch = stream.read(next, Duration::ZERO).await?;
+        if batch.first > next {
             let snapshots = Stream {
                 name: SNAPSHOTS_STREAM,
                 ..stream.clone()
             };
             let snapshot = tail::newest_snapshot(&snapshots).await;
-            let Some(snapshot) = snapshot.filter(|snapshot| snapshot.next >= part.first) else {
+            let Some(snapshot) = snapshot.filter(|snapshot| snapshot.next >= batch.first) else {
                 return Err(Error::Missing(
                     "records have expired and no snapshot covers them".to_string(),
                 ));
@@ -158,13 +158,13 @@
             replay.config.restore(snapshot);
             continue;
         }
-        for entry in part.records {
-            next = entry.offset + 1;
-            let record = tail::decode_record(entry.offset, &entry.data);
-            let applied = replay.config.apply(entry.offset, &record);
-            replay.records.push(AppliedRecord { applied, entry });
+        for stored in batch.records {
+            next = stored.offset + 1;
+            let record = tail::decode_record(stored.offset, &stored.data);
+            let applied = replay.config.apply(stored.offset, &record);
+            replay.records.push(AppliedRecord { applied, stored });
         }
-        if next >= part.next {
+        if next >= batch.next {
             return Ok(replay);
         }
     }
--- a/crates/carawayhead/src/command/show.rs
+++ b/crates/carawayhead/src/command/show.rs
@@ -46,7 +46,7 @@
         println!("{:>8} {:>14} RESULT", "OFFSET", "TIME");
     }
     for record in records {
-        let (offset, at) = (record.entry.offset, record.entry.at.0);
+        let (offset, at) = (record.stored.offset, record.stored.at.0);
         let result = result_text(&record.applied);
         if as_json {
             println!(
--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -384,7 +384,8 @@
         }
     }
 
-    /// Answers a peer instance with the records that it lacks.
+    /// Answers a peer instance with the records that it lacks, or a snapshot if they are no longer
+    /// kept.
     fn answer_peer(&self, request: IncomingRequest) {
         lock(&self.timeline).receive(self.clock.wall(), request.hello.stamp);
         let next = request.hello.next;
--- a/crates/carawayhead/src/daemon/operator_listener.rs
+++ b/crates/carawayhead/src/daemon/operator_listener.rs
@@ -100,7 +100,7 @@
         let timeline = state
             .timeline
             .lock()
-            .expect("the time line lock is not poisoned");
+            .expect("the timeline lock is not poisoned");
         response.body(json!(timeline.entries()).to_string());
     }
 }
--- a/crates/carawayhead/src/error.rs
+++ b/crates/carawayhead/src/error.rs
@@ -19,7 +19,7 @@
     Peer(peer::Error),
     /// A request to the platform failed.
     Platform(streamlog::Error),
-    /// A record was not applied because another record changed the item first.
+    /// A record was not applied because it is not based on the current version of an item.
     Conflict(String),
     /// The requested item, record or instance was not found.
     Missing(String),
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// A response whose body has not been read yet.
+/// A response whose body is read on demand.
 #[derive(Debug)]
 pub struct Reply {
     address: String,
@@ -199,7 +199,8 @@
         Ok(None)
     }
 
-    /// Returns the connection to the pool once the body has been read.
+    /// Returns the connection to the pool. It is reused only if it is ready for another request,
+    /// so the body must have been read to its end.
     pub fn release(self) {
         let limit = self.header("keep-alive").and_then(keep_alive_timeout);
         let max_idle = limit.map_or(DEFAULT_IDLE_TIMEOUT, |limit| limit.mul_f64(REUSE_FRACTION));
