--- a/crates/carawayhead/tests/common/mod.rs
+++ b/crates/carawayhead/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts stand-ins and daemons as processes on loopback for the end-to-end tests.
+//! Starts stand-ins and instances as processes on loopback for the end-to-end tests.
 
 #![allow(dead_code, reason = "no test file uses all of these helpers")]
 
@@ -18,7 +18,7 @@
 pub const API_KEY: &str = "workshop-key";
 const HANDLE_SECRET: &str = "4242424242424242424242424242424242424242424242424242424242424242";
 
-/// Bound on waiting for a condition, so that a failed test ends.
+/// Timeout for a condition that a test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A child process, killed on drop.
@@ -100,7 +100,7 @@
     }
 }
 
-/// The stand-ins and daemons of one test.
+/// The stand-ins and instances of one test.
 pub struct Cluster {
     pub client: Client,
     pub engines: Vec<Process>,
@@ -143,7 +143,7 @@
 }
 
 impl Builder {
-    /// Starts all processes and waits until each daemon is ready.
+    /// Starts all processes and waits until each instance is ready.
     pub async fn start(self) -> Cluster {
         let folder = std::env::temp_dir().join(format!("carawayhead-{}", uuid::Uuid::new_v4()));
         std::fs::create_dir_all(&folder).expect("the settings folder can be created");
@@ -215,13 +215,13 @@
         service
     }
 
-    /// Starts a daemon and adds it to the instance list.
+    /// Starts an instance and adds it to the instance list.
     pub async fn add_instance(&mut self, name: &str, domain: &str) {
         let log = self.log.address.clone();
         self.add_instance_with_log(name, domain, &log).await;
     }
 
-    /// Starts a daemon with an unreachable log address.
+    /// Starts an instance with an unreachable log address.
     pub async fn add_instance_without_log(&mut self, name: &str, domain: &str) {
         self.add_instance_with_log(name, domain, "127.0.0.1:9")
             .await;
@@ -303,7 +303,7 @@
         assert!(reply.status().is_success(), "the log accepts the record");
     }
 
-    /// Waits until a daemon is ready and every engine and service is usable.
+    /// Waits until an instance is ready and every engine and service is usable.
     pub async fn wait_until_ready(&self, number: usize) {
         let address = &self.instances[number].operator;
         let engines = self.engines.len() + self.services.len();
@@ -314,7 +314,7 @@
         .await;
     }
 
-    /// Waits until every daemon has applied the records below this offset.
+    /// Waits until every instance has applied the records below this offset.
     pub async fn wait_for_config(&self, next: u64) {
         for instance in &self.instances {
             self.wait_until("the records are applied", async || {
@@ -368,7 +368,7 @@
             .expect("the response body is complete");
     }
 
-    /// Sends a request to a daemon and returns the response as soon as its head arrives.
+    /// Sends a request to an instance and returns the response as soon as its head arrives.
     pub async fn send(
         &self,
         number: usize,
@@ -390,7 +390,7 @@
             .await
     }
 
-    /// Starts a stream through the first daemon and reads its first `count` events.
+    /// Starts a stream through the first instance and reads its first `count` events.
     pub async fn begin_stream(&self, tokens: u32, count: usize) -> (Reply, Events) {
         let sent = self.send(0, CallerRequest::generation(tokens, true)).await;
         let mut reply = sent.expect("a response");
@@ -431,7 +431,7 @@
     }
 }
 
-/// A caller's request to a daemon.
+/// A caller's request to an instance.
 pub struct CallerRequest {
     body: String,
     headers: Vec<(&'static str, String)>,
--- a/crates/carawayhead/tests/forwarding/instance.rs
+++ b/crates/carawayhead/tests/forwarding/instance.rs
@@ -14,7 +14,7 @@
     tokio::time::sleep,
 };
 
-/// Bound on waiting for a condition, so that a failed test ends.
+/// Timeout for a condition that a test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A running instance, killed on drop.
--- a/crates/carawayhead/tests/operators.rs
+++ b/crates/carawayhead/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operator commands against running daemons.
+//! Operator commands against running instances.
 
 mod common;
 
--- a/crates/carawayhead/tests/whole_path.rs
+++ b/crates/carawayhead/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Requests from a caller through daemons to the endpoints and back.
+//! Requests from a caller through instances to the endpoints and back.
 
 mod common;
 
