--- a/crates/carawayhead/src/daemon/instance.rs
+++ b/crates/carawayhead/src/daemon/instance.rs
@@ -269,7 +269,7 @@
         let idle = self.exchanges.is_empty() && self.inbound.is_empty();
         let notice_passed = since.elapsed() >= self.drain_notice;
         // While the log is unavailable, pending entries cannot be appended. The timeout keeps
-        // an outage of the log from blocking the shutdown.
+        // an outage of the log from blocking the exit.
         let flushed =
             self.state.appends.is_empty() || since.elapsed() >= self.drain_notice + FLUSH_TIMEOUT;
         idle && notice_passed && flushed
@@ -384,7 +384,8 @@
         }
     }
 
-    /// Answers a peer instance with the records that it lacks.
+    /// Answers a peer instance with the records that it lacks, or a snapshot if they are no longer
+    /// kept.
     fn answer_peer(&self, request: IncomingRequest) {
         lock(&self.timeline).receive(self.clock.wall(), request.hello.stamp);
         let next = request.hello.next;
@@ -456,7 +457,7 @@
 
 /// Locks the timeline.
 pub(super) fn lock(timeline: &Mutex<Timeline>) -> std::sync::MutexGuard<'_, Timeline> {
-    timeline.lock().expect("the time line lock is not poisoned")
+    timeline.lock().expect("the timeline lock is not poisoned")
 }
 
 /// Returns a short description of the work, for the timeline.
--- a/crates/carawayhead/tests/soak/script.rs
+++ b/crates/carawayhead/tests/soak/script.rs
@@ -47,7 +47,7 @@
 pub struct FaultInjector {
     pub addresses: watch::Sender<Vec<SocketAddr>>,
     /// Number of changes so far, for the report.
-    pub faults: u32,
+    pub changes: u32,
     /// Revoked keys with the times of their revocation and restoration.
     pub revoked: Vec<(&'static str, Instant, Option<Instant>)>,
     random: SmallRng,
@@ -60,7 +60,7 @@
         let (addresses, listening) = watch::channel(Vec::new());
         let injector = Self {
             addresses,
-            faults: 0,
+            changes: 0,
             random,
             revoked: Vec::new(),
             mode,
@@ -85,13 +85,13 @@
         while Instant::now() < end {
             sleep(Duration::from_millis(self.random.random_range(50..350))).await;
             self.undo_due(deployment, Instant::now()).await;
-            self.faults += 1;
+            self.changes += 1;
             match self.mode {
                 Mode::Faults if self.random.random_bool(0.7) => self.inject_fault(deployment).await,
                 Mode::Faults | Mode::Planned => self.apply_planned_change(deployment),
             }
         }
-        // A stopping instance takes up to its grace time to exit before it can be restarted.
+        // A draining instance takes up to its grace time to exit before it can be restarted.
         while !self.pending_undos.is_empty() {
             self.undo_due(deployment, Instant::now() + UNDO_ALL_HORIZON)
                 .await;
@@ -222,10 +222,10 @@
     /// Stops an instance unless it would leave none running.
     fn stop_instance(&mut self, deployment: &Deployment, signal: Signal) {
         let index = self.random.random_range(0..deployment.slots.len());
-        let stopping = (0..deployment.slots.len())
+        let stopped = (0..deployment.slots.len())
             .filter(|slot| self.is_stopped(*slot))
             .count();
-        if self.is_stopped(index) || stopping + 1 >= deployment.slots.len() {
+        if self.is_stopped(index) || stopped + 1 >= deployment.slots.len() {
             return;
         }
         deployment.slots[index].signal(signal);
