--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -61,7 +61,7 @@
 
 /// Enables failure domains that no record disables any more.
 fn reinstate_unlisted_domains(shared: &Shared, records: &[KeyedRecord]) {
-    let out = records
+    let disabled = records
         .iter()
         .filter_map(|record| match records::decode_operator_record(record) {
             Ok(OperatorRecord::Domain(domain, true)) => Some(domain),
@@ -70,7 +70,7 @@
         .collect::<Vec<_>>();
     let mut state = shared.state.borrow_mut();
     for domain in state.disabled_domains().to_vec() {
-        if !out.contains(&domain) {
+        if !disabled.contains(&domain) {
             log::info!(domain; "failure domain enabled: not among the newest records");
             state.set_domain(&domain, false);
         }
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -15,8 +15,8 @@
     rand::RngExt as _,
 };
 
-/// Long poll timeout of a read. Data is as old as the sending of the last completed read, so
-/// without changes its age varies between one and two timeouts.
+/// Long poll timeout of a read. The age of data counts from the sending of the last completed
+/// read, so without changes it varies between one and two timeouts.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Long poll timeout for the list of instances, whose age does not matter for requests.
@@ -36,11 +36,11 @@
 /// step.
 const RETRY_DELAY_RANGE_MS: (u64, u64) = (40, 240);
 
-/// Limit of doublings of the retry delay. The reader of a topic does not back off: it notifies
-/// the others as soon as the store is back.
+/// Maximum number of times the retry delay is doubled. The reader of a topic does not back off:
+/// it notifies the others as soon as the store is back.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// Limit of doublings for a member that is connected to an aggregator.
+/// Maximum number of doublings for a member that is connected to an aggregator.
 const MEMBER_MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Age from which a member without an aggregator reads the list of instances itself; the
@@ -51,14 +51,14 @@
 /// start together find each other with one read.
 const FIRST_READ_DELAY_RANGE_MS: (u64, u64) = (400, 600);
 
-/// Limit of the extra age that members accept before they read the store themselves. It
-/// differs between them, so that they do not all call a failing store at once.
+/// Range of the extra age that members accept before they read the store themselves. It
+/// differs between them, so that they do not all call a failing store simultaneously.
 const MEMBER_JITTER_MS: u64 = 1000;
 
 /// How often an instance that does not read a topic checks whether it has to.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Limit for which a request waits for a read on its behalf.
+/// How long a request waits for a read on its behalf.
 const VERIFY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Interval of the timer that drives time-dependent state.
@@ -72,9 +72,9 @@
     let topic_state = shared.topic(topic);
     topic_state.reachable.set(true);
     if topic == Topic::Instances {
-        let read_delay =
+        let first_read_delay =
             rand::rng().random_range(FIRST_READ_DELAY_RANGE_MS.0..FIRST_READ_DELAY_RANGE_MS.1);
-        sleep(Duration::from_millis(read_delay)).await;
+        sleep(Duration::from_millis(first_read_delay)).await;
     }
     let mut confirmation_wanted = true;
     let mut failures = 0;
@@ -130,11 +130,11 @@
                 // Data from peers may suffice until the next attempt; if not, `cause` says so.
                 confirmation_wanted = false;
                 topic_state.read_done.notify_waiters();
-                let read_delay =
+                let retry_delay =
                     rand::rng().random_range(RETRY_DELAY_RANGE_MS.0..RETRY_DELAY_RANGE_MS.1);
                 let doublings = if cause == Cause::Reader { 0 } else { failures };
                 failures = (failures + 1).min(max_doublings(&shared));
-                sleep(Duration::from_millis(read_delay << doublings)).await;
+                sleep(Duration::from_millis(retry_delay << doublings)).await;
             }
         }
     }
@@ -188,8 +188,8 @@
 }
 
 /// Delay after a read. All instances publish themselves when a deployment starts; without the
-/// delay each of many would read once for each other one. Among few, a new instance should be
-/// found at once.
+/// delay, each of many would read once for each other one. Among few, a new instance should be
+/// found immediately.
 fn read_delay(shared: &Shared, topic: Topic) -> Duration {
     let many = gossip::role(shared) != Role::Equal;
     match topic {
@@ -240,8 +240,8 @@
     shared.metrics.record_store_call("read");
     let known = shared.topic(topic).position.get();
     let reached = apply_records(shared, topic, from, &tail.records).max(tail.next);
-    // When many instances read at once, as after a store outage, only those whose peers have
-    // not relayed the records meanwhile relay them; otherwise copies would fill the network.
+    // When many instances read simultaneously, as after a store outage, only those whose peers
+    // have not relayed the records meanwhile relay them; otherwise copies would fill the network.
     let has_news = !tail.records.is_empty() && known.is_none_or(|known| known < reached);
     let own = own(shared, topic);
     if has_news && shared.readers.borrow().should_relay(cause, own, sent_at) {
@@ -288,9 +288,9 @@
     }
 }
 
-/// Requests an immediate read of the configuration for a request for which it is too old, and
-/// waits for it. Concurrent requests share the read. Returns at once while the store is known
-/// to be unreachable.
+/// Requests an immediate read of the configuration when it is too old for a request, and waits
+/// for it. Concurrent requests share the read. Returns immediately while the store is known to
+/// be unreachable.
 pub async fn verify(shared: &Shared) {
     let topic_state = shared.topic(Topic::Operators);
     if !topic_state.reachable.get() {
