--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -21,7 +21,7 @@
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
             Self::Certificate(file, error) => write!(f, "{file}: {error}"),
-            Self::Codec(error) => write!(f, "message cannot be decoded: {error}"),
+            Self::Codec(error) => write!(f, "cannot encode or decode message: {error}"),
             Self::Connection(error) => write!(f, "connection to peer instance: {error}"),
             Self::Io(error) => write!(f, "cannot listen for peer instances: {error}"),
             Self::NoResponse => write!(
--- a/crates/proxy/src/gossip/records.rs
+++ b/crates/proxy/src/gossip/records.rs
@@ -31,7 +31,7 @@
 /// another aggregator to members, from a member to all.
 pub fn receive(shared: &Shared, batch: Batch) {
     let Some(topic) = topic::ALL.get(usize::from(batch.topic)).copied() else {
-        log::warn!(topic = batch.topic; "records of unknown topic");
+        log::warn!(topic = batch.topic; "received records of unknown topic");
         return;
     };
     let Some(known) = shared.topic(topic).position.get() else {
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -89,7 +89,7 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!(error:%; "connection ended");
+        log::debug!(error:%; "connection ended with an error");
     }
 }
 
