--- a/crates/proxy/src/gossip/receive.rs
+++ b/crates/proxy/src/gossip/receive.rs
@@ -43,8 +43,8 @@
             .peer_loads
             .update(&report.name, now, report.number, loads);
     } else if shared.in_own_domain(&report.name) {
-        // Reports from other domains, whose senders do not yet know that instances are many,
-        // are skipped: their load is part of their own domain's sum.
+        // Load reported from other domains, by senders that do not yet know that instances are
+        // many, is ignored: it is part of their own domain's sum.
         shared.apply_report(now, &report.name, report.number, loads);
         report::send_answer(shared, datagrams, &report);
         if report.held_version.is_some() {
--- a/crates/proxy/src/gossip/report.rs
+++ b/crates/proxy/src/gossip/report.rs
@@ -33,19 +33,20 @@
 /// Time for which grown rows are batched before they are sent.
 const GROWN_ROWS_DELAY: Duration = Duration::from_millis(8);
 
-/// Limit of datagrams for one answer; further rows follow with the next one.
+/// Maximum number of datagrams for one answer; further rows follow with the next one.
 const MAX_ANSWER_DATAGRAMS: usize = 4;
 
 /// Age up to which an aggregator's rows are used for placement without a refresh.
 const RECENT_ROWS_AGE: Duration = Duration::from_millis(20);
 
-/// Limit for which placement waits for newer rows.
+/// How long placement waits for newer rows.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Limit of rows in one report, the busiest endpoints first, so that it fits into a datagram.
+/// Maximum number of rows in one report, the busiest endpoints first, so that it fits into a
+/// datagram.
 const MAX_REPORT_ROWS: usize = 90;
 
-/// Limit of rows in one datagram of a sum or an answer.
+/// Maximum number of rows in one datagram of a sum or an answer.
 const MAX_DATAGRAM_ROWS: usize = 64;
 
 /// Sends reports and sums; never returns.
@@ -82,8 +83,8 @@
     }
 }
 
-/// Waits until an aggregator's next sum is due: a complete one at `full_sum_at`, or earlier one
-/// of grown rows after [`GROWN_ROWS_DELAY`].
+/// Waits until an aggregator's next sum is due: a complete one at `full_sum_at`, or an earlier
+/// one of grown rows after [`GROWN_ROWS_DELAY`].
 async fn sum_due(shared: &Shared, full_sum_at: Time) {
     let left = full_sum_at.since(clock::now());
     let now = timeout(left, shared.report_now.notified());
@@ -113,8 +114,9 @@
     let _received = timeout(REFRESH_TIMEOUT, rows_received).await;
 }
 
-/// Waits until a member's next report is due: at once if one is requested, otherwise when the
-/// load has changed and [`MEMBER_MIN_INTERVAL`] has passed.
+/// Waits until a member's next report is due: immediately if one is requested, otherwise when
+/// the load has changed and [`MEMBER_MIN_INTERVAL`] has passed, at the latest after
+/// [`MAX_INTERVAL`].
 async fn report_due(shared: &Shared) {
     let now = timeout(MEMBER_MIN_INTERVAL, shared.report_now.notified());
     if now.await.is_ok() {
--- a/crates/proxy/src/progress.rs
+++ b/crates/proxy/src/progress.rs
@@ -1,14 +1,14 @@
-//! Attempts made for a request that has not been answered yet.
+//! Attempts made for a request that has no response yet.
 
 use {
     crate::{clock, prelude::*},
     forward::request::Ticket,
 };
 
-/// Limit of sends for one request, rejected ones included.
+/// Maximum number of sends for one request, rejected ones included.
 const MAX_SENDS: u32 = 4;
 
-/// Attempts made for a request that has not been answered yet.
+/// Attempts made for a request that has no response yet.
 #[derive(Debug, Default)]
 pub struct Progress {
     /// An endpoint's error response, returned if no other endpoint succeeds.
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// No endpoint has responded; see [`Self::give_up`].
+    /// No endpoint has returned an error response; see [`Self::give_up`].
     pub fn finish(&mut self, id: &str, refusal: Refusal) -> Result<Reply, Refusal> {
         let failure = self.failure.take();
         failure.ok_or_else(|| self.give_up(id, refusal))
--- a/crates/proxy/src/relocate.rs
+++ b/crates/proxy/src/relocate.rs
@@ -5,11 +5,11 @@
     platform::engine::{self, MoveResult},
 };
 
-/// Limit for copying a run. 4,000 tokens take 0.44 s between failure domains, and several
+/// Timeout for copying a run. 4,000 tokens take 0.44 s between failure domains, and several
 /// copies may be queued on a link.
 pub const MOVE_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Limit for stopping a run and copying it. A dead engine is detected sooner, since the
+/// Timeout for stopping a run and copying it. A dead engine is detected sooner, since the
 /// request uses a new connection.
 const STOP_TIMEOUT: Duration = Duration::from_millis(1200);
 
@@ -45,7 +45,7 @@
     NoRun,
     /// The run has stopped and can be resumed there.
     Stopped(RunCopy),
-    /// The engine does not answer.
+    /// The engine does not respond.
     Unreachable,
 }
 
@@ -140,7 +140,7 @@
     ends_at(shared, run, target)
 }
 
-/// The engine that has the run, and another one.
+/// The engine that has the run, and the given target.
 fn ends_at(shared: &Shared, run: RunKey, target_key: EndpointKey) -> Option<MoveEnds> {
     let source_key = shared.state.borrow().run(run)?.endpoint;
     Some(MoveEnds {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -21,7 +21,7 @@
 /// removes an instance after two failed readiness checks, one second apart.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2600);
 
-/// Time before the end of the grace period at which the process exits by itself.
+/// Time before the end of the grace period at which the process exits.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// How often the settings file is checked, since it may change without a signal.
@@ -86,8 +86,9 @@
     Ok(())
 }
 
-/// Applies a changed settings file, except for addresses that are already bound. An invalid
-/// file changes nothing: it may be half written, and is read again later.
+/// Applies the shared limits and the failure domain of a changed settings file to decisions;
+/// other settings keep their values from the start. An invalid file changes nothing: it may be
+/// half written, and is read again later.
 fn reload(shared: &Shared, file: &str, known: Settings) -> Settings {
     match Settings::load(file) {
         Ok(settings) if settings == known => known,
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -40,13 +40,13 @@
 pub struct Joint {
     /// Window of the retry budget in seconds.
     pub retry_window_s: f64,
-    /// Retries within the window beyond the ratio.
+    /// Retries allowed within the window in addition to the ratio.
     pub retry_burst: f64,
-    /// Retries for each first send.
+    /// Retries allowed for each first send.
     pub retry_ratio: f64,
     /// Milliseconds after which a revoked key must no longer be accepted.
     pub revocation_ms: f64,
-    /// Limit of instances that may exist at once.
+    /// Expected maximum number of instances; joint limits are divided by at least this number.
     #[serde(default = "most_instances")]
     pub most_instances: u32,
 }
@@ -62,7 +62,7 @@
     1.0
 }
 
-/// Default number of instances among which joint limits are divided.
+/// Default of [`Joint::most_instances`].
 const fn most_instances() -> u32 {
     10
 }
