--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -9,7 +9,7 @@
     bytes::Bytes,
 };
 
-/// Limit for opening a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Application error code for closing a connection that is no longer used.
--- a/crates/peer/src/pinned.rs
+++ b/crates/peer/src/pinned.rs
@@ -108,7 +108,7 @@
     Ok(Configs { client, server })
 }
 
-/// Accepts certificates by fingerprint; signatures prove that the other side has the key.
+/// Accepts certificates by fingerprint; signatures prove that the peer holds the key.
 #[derive(Debug)]
 struct Verifier {
     pins: Pins,
--- a/crates/peer/src/request.rs
+++ b/crates/peer/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::{message::MAX_MESSAGE_BYTES, prelude::*};
 
-/// Limit for a request and its answer, the opening of a connection included.
+/// Timeout for a request and its answer, the opening of a connection included.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A request from a peer that waits for an answer.
@@ -67,7 +67,7 @@
             .await
             .unwrap_or(Err(Error::NoResponse));
         if result.is_err() {
-            // A connection can stall for good while new ones work, so the next request
+            // A connection can stall permanently while new ones work, so the next request
             // opens another one.
             self.forget(address);
         }
--- a/crates/peer/src/tls.rs
+++ b/crates/peer/src/tls.rs
@@ -39,7 +39,7 @@
     pub server: quinn::ServerConfig,
 }
 
-/// Reads the files.
+/// Creates QUIC configurations from an instance's files.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -9,7 +9,7 @@
 /// Result of a send.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The endpoint answered; the body has not been read.
+    /// The endpoint responded; the body has not been read.
     Answer(endpoint::client::Reply, ResponseFlags),
     /// Nothing was written to the connection, for this reason.
     NotWritten(String),
@@ -119,7 +119,7 @@
             let flags = head::response_flags(reply.status(), reply.headers(), id);
             if !flags.matches {
                 // A late response to an earlier request. The right one may follow, but the
-                // connection is out of step.
+                // connection is out of sync.
                 return SendOutcome::Unknown("response belongs to another request".to_string());
             }
             SendOutcome::Answer(reply, flags)
--- a/crates/proxy/src/gossip/history.rs
+++ b/crates/proxy/src/gossip/history.rs
@@ -2,7 +2,7 @@
 
 use {crate::prelude::*, platform::store::KeyedRecord, std::collections::VecDeque};
 
-/// Limit of keys and values retained for each topic.
+/// Maximum total size of the keys and values retained for each topic.
 pub const MAX_HISTORY_BYTES: usize = 128 << 10;
 
 /// Delay before missing records are sent to the same member again.
--- a/crates/proxy/src/gossip/registration.rs
+++ b/crates/proxy/src/gossip/registration.rs
@@ -13,7 +13,7 @@
 /// Delay before a failed write of this instance's entry is retried.
 const PUBLISH_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How often entries of dead instances are looked for.
+/// How often to check for entries of dead instances.
 const DEAD_CHECK_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Publishes this instance, and again whenever its entry has been dropped.
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -17,7 +17,7 @@
     },
 };
 
-/// Limit of lines that wait to be written, about a megabyte.
+/// Maximum number of lines that wait to be written, about a megabyte.
 const MAX_QUEUED_LINES: usize = 4096;
 
 /// Number of lines dropped since the start.
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -6,10 +6,10 @@
     tokio::task::spawn_local,
 };
 
-/// How often due probes are looked for.
+/// How often to check for due probes.
 const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Limit for a response, which does not depend on room at the engine.
+/// How long to wait for a response, which does not depend on room at the engine.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Size limit of a response, which lists the engine's runs.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -21,11 +21,11 @@
 };
 
 /// Silence after which the engine is asked to stop the run. A preempted run may pause for
-/// long, so it is given up only after the engine has been asked.
+/// a long time, so it is given up only after the engine has been asked.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Fraction of the route's longest allowed gap after which the engine with the backup copy
-/// takes the stream over. If the network drops packets without a reset, events just stop;
+/// takes the stream over. If the network drops packets without a reset, events stop arriving;
 /// taking over early avoids a late event.
 const QUIET_GAP_SHARE: f64 = 0.5;
 
@@ -81,7 +81,7 @@
     pub ticket: Ticket,
 }
 
-/// Next thing that happened to a stream.
+/// Outcome of waiting for a stream's next events.
 enum Step {
     CallerLeft,
     Events(Vec<Bytes>),
--- a/crates/proxy/src/relay/failover.rs
+++ b/crates/proxy/src/relay/failover.rs
@@ -12,20 +12,20 @@
     forward::choice::Need,
 };
 
-/// Limit of takeovers for one stream.
+/// Maximum number of takeovers for one stream.
 const MAX_TAKEOVERS: u32 = 8;
 
-/// Limit for each read of a stopped run's last events, which may still be in transit when
+/// Timeout of each read of a stopped run's last events, which may still be in transit when
 /// the engine confirms the stop.
 const LAST_EVENTS_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Limit for queueing when a stream is restarted. Callers tolerate a pause of two seconds, of
-/// which a repeated prefill takes half a second.
+/// How long a restarted stream may queue. Callers tolerate a pause of two seconds, of which a
+/// repeated prefill takes half a second.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Attempts to stop a run that another engine may have taken over, while a move of the run is
-/// in progress. With [`STOP_RETRY_DELAY`] they take less time than two engines may work on a
-/// run.
+/// in progress. With [`STOP_RETRY_DELAY`] they take less time than two engines may run it
+/// concurrently.
 const MAX_STOP_TRIES: u32 = 3;
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(40);
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Another engine that does not answer may have taken the run over, so that two engines
+    /// Another engine that does not respond may have taken the run over, so that two engines
     /// would run a stream that must not be repeated. Stops the run where it can be reached,
     /// and resumes from there.
     async fn stop_duplicate(&mut self, other: EndpointKey) -> Result<(), Ending> {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -29,7 +29,7 @@
     tokio::sync::Notify,
 };
 
-/// Limit for opening a connection to an endpoint or the store.
+/// Timeout for opening a connection to an endpoint or the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// State shared by all tasks of an instance.
@@ -60,7 +60,7 @@
     pub republish: Notify,
     /// Notified when an endpoint may have room again.
     pub room: Notify,
-    /// Notified when a report is due at once: a run has started, or a placement needs an
+    /// Notified when a report is due immediately: a run has started, or a placement needs an
     /// aggregator's newest rows.
     pub report_now: Notify,
     /// Role in the gossip as of the last check.
@@ -343,7 +343,7 @@
     }
 
     /// Applies the report of a member. Rows that have grown are sent to the other failure
-    /// domains at once, before they place further requests there.
+    /// domains immediately, before they place further requests there.
     pub fn apply_report(&self, now: Time, member: &str, number: u64, loads: Report) {
         let mut state = self.state.borrow_mut();
         let State {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -22,7 +22,7 @@
 /// needed for prefill.
 const QUEUE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// Limit of body parts buffered for a caller that reads slowly.
+/// Maximum number of body parts buffered for a caller that reads slowly.
 const MAX_BUFFERED_PARTS: usize = 256;
 
 /// Expected output tokens where the caller gives no limit.
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Asking another engine to take a run over.
+//! Takeover of a run by another engine.
 
 use {
     crate::{
@@ -12,11 +12,11 @@
     platform::head,
 };
 
-/// Limit for the head of the response to a takeover.
+/// How long to wait for the head of the response to a takeover request.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Limit for a takeover while the run's own engine may still be running it. Engines allow two
-/// of them to run it for 400 ms.
+/// Timeout of a takeover while the run's current engine may still be running it. Two engines
+/// may run it concurrently for up to 400 ms.
 const MAX_OVERLAP: Duration = Duration::from_millis(250);
 
 /// Source of a stream's events.
@@ -85,8 +85,8 @@
     /// Takes over at the engine with the backup copy if it is healthy; otherwise moves the
     /// run's KV cache.
     ///
-    /// The backup lacks only the last few tokens, so its engine can continue at once, while a
-    /// move queues behind others on the link. The run continues until the other engine has
+    /// The backup lacks only the last few tokens, so its engine can continue immediately, while
+    /// a move queues behind others on the link. The run continues until the other engine has
     /// responded, so nothing is lost if the copy is missing.
     pub async fn move_run(self, backup: Option<RunCopy>) -> TakeoverOutcome {
         let healthy = self
--- a/crates/proxy/src/topic.rs
+++ b/crates/proxy/src/topic.rs
@@ -32,7 +32,7 @@
     pub position: Cell<Option<u64>>,
     /// Whether the last call to the store succeeded.
     pub reachable: Cell<bool>,
-    /// Notified when a read is wanted at once.
+    /// Notified when an immediate read is wanted.
     pub read_wanted: Notify,
     /// Notified after each read, successful or not.
     pub read_done: Notify,
