--- a/crates/forward/src/budget.rs
+++ b/crates/forward/src/budget.rs
@@ -35,7 +35,7 @@
     pub fn new(settings: &Settings) -> Self {
         let mut budget = Self {
             burst: 0.0,
-            instances: settings.max_instances.max(1),
+            instances: settings.min_instances.max(1),
             histories: Vec::new(),
             ratio: 0.0,
             window: Duration::ZERO,
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -9,8 +9,8 @@
     pub budget_window: Duration,
     /// Failure domain of this instance.
     pub domain: String,
-    /// Maximum number of instances; shared limits are divided by it.
-    pub max_instances: u32,
+    /// Minimum number of instances that shared limits are divided by.
+    pub min_instances: u32,
     /// Retries to a service within the window beyond the ratio, over all instances.
     pub retry_burst: f64,
     /// Retries to a service per first attempt, over all instances.
--- a/crates/forward/src/state.rs
+++ b/crates/forward/src/state.rs
@@ -78,7 +78,7 @@
             disabled_domains: Vec::new(),
             endpoints: SlotMap::with_key(),
             peer_loads: PeerLoads::default(),
-            instances: settings.max_instances.max(1),
+            instances: settings.min_instances.max(1),
             list_freshness: Freshness::default(),
             members: Members::default(),
             next_turn: 0,
@@ -95,19 +95,19 @@
     /// Applies changed settings.
     pub fn update_settings(&mut self, settings: Settings) {
         self.budget.update_settings(&settings);
-        self.instances = self.instances.max(settings.max_instances);
+        self.instances = self.instances.max(settings.min_instances);
         self.settings = settings;
     }
 
     /// Updates the number of registered instances.
     ///
     /// Shared limits are divided by 25 % more, to allow for instances that are not visible yet, and
-    /// never by less than the configured maximum. Entries of stopped instances remain for minutes,
-    /// which only makes the shares smaller.
-    pub fn count_instances(&mut self, published: usize) {
+    /// never by less than [`Settings::min_instances`]. Entries of stopped instances remain for
+    /// minutes, which only makes the shares smaller.
+    pub fn update_instance_count(&mut self, published: usize) {
         let published = u32::try_from(published).unwrap_or(u32::MAX);
         let instances = published.saturating_add(published.div_ceil(4));
-        self.instances = instances.max(self.settings.max_instances.max(1));
+        self.instances = instances.max(self.settings.min_instances.max(1));
         self.budget.set_instances(self.instances);
     }
 
@@ -200,7 +200,7 @@
 
     /// Ids of all known endpoints.
     #[must_use]
-    pub fn listed(&self) -> Vec<String> {
+    pub fn endpoint_ids(&self) -> Vec<String> {
         let listed = self.endpoints.values();
         listed.map(|endpoint| endpoint.listing.id.clone()).collect()
     }
--- a/crates/forward/tests/common/mod.rs
+++ b/crates/forward/tests/common/mod.rs
@@ -41,7 +41,7 @@
     Settings {
         budget_window: Duration::from_secs(10),
         domain: domain.to_string(),
-        max_instances: 10,
+        min_instances: 10,
         retry_burst: 50.0,
         retry_ratio: 0.2,
         revocation: Duration::from_secs(5),
--- a/crates/forward/tests/limits.rs
+++ b/crates/forward/tests/limits.rs
@@ -99,11 +99,11 @@
         retries
     };
     assert_eq!(retries(&mut state, 0), 5);
-    state.count_instances(7);
+    state.update_instance_count(7);
     assert_eq!(retries(&mut state, 20_000), 5);
-    state.count_instances(40);
+    state.update_instance_count(40);
     assert_eq!(retries(&mut state, 40_000), 1);
-    state.count_instances(80);
+    state.update_instance_count(80);
     assert_eq!(retries(&mut state, 60_000), 0);
 }
 
--- a/crates/proxy/src/apply.rs
+++ b/crates/proxy/src/apply.rs
@@ -35,7 +35,7 @@
 fn remove_unlisted_endpoints(shared: &Shared, records: &[KeyedRecord]) {
     let now = clock::now();
     let mut state = shared.state.borrow_mut();
-    for id in state.listed() {
+    for id in state.endpoint_ids() {
         if !records.iter().any(|record| record.key == id) {
             log::info!(endpoint = id; "endpoint removed: not among the newest records");
             state.change(now, Change::Removed(id));
@@ -131,7 +131,7 @@
             shared.readers.borrow_mut().forget(name);
         }
         let published = state.members.count();
-        state.count_instances(published);
+        state.update_instance_count(published);
     };
     if let Some(address) = shared.peers.update(name, entry)
         && let Some(datagrams) = &*shared.peers.datagrams.borrow()
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -129,7 +129,7 @@
         forward::settings::Settings {
             budget_window: Duration::from_secs_f64(self.joint.retry_window_s),
             domain: self.instance.domain.clone(),
-            max_instances: self.joint.most_instances,
+            min_instances: self.joint.most_instances,
             retry_burst: self.joint.retry_burst,
             retry_ratio: self.joint.retry_ratio,
             revocation: Duration::from_secs_f64(self.joint.revocation_ms / 1000.0),
