--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -5,7 +5,7 @@
 //! or when a partition leaves each side with the whole limit. Instead, the first instance to
 //! append an [`Kind::Initialize`] entry for an incarnation of the endpoint assigns the quotas
 //! and keeps half of the limit free for instances that join later. All readers of the log
-//! agree on the quotas, whatever list they see. Quotas move by entries too: an instance with
+//! agree on the quotas, whatever list they see. Entries also move quotas: an instance with
 //! waiting requests and no quota asks for one, and an instance with an unused quota hands
 //! over half of it.
 
@@ -32,7 +32,7 @@
         /// Digest of the dead instance.
         from_absent: Option<u64>,
     },
-    /// The appending instance starts slow start for an incarnation and assigns quotas.
+    /// The appending instance initializes slow start for an incarnation and assigns quotas.
     Initialize {
         /// The holder that the entry replaces; it is ignored if another one is current.
         expected: Option<Holder>,
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -121,7 +121,7 @@
     }
     let prefill =
         Duration::from_secs_f64(f64::from(inbound.prompt) / PREFILL_TOKENS_PER_MS / 1000.0);
-    // The caller's length hint is an estimate that half of all runs exceed; its limit is not.
+    // The caller's length hint is no upper bound, since half of all runs exceed it.
     let output = if inbound.max_output_tokens == 0 {
         u32::MAX
     } else {
--- a/crates/forward/src/aggregate/members.rs
+++ b/crates/forward/src/aggregate/members.rs
@@ -9,7 +9,7 @@
 /// Number of aggregators in a failure domain; the second one replaces the first if that fails.
 pub const AGGREGATORS_PER_DOMAIN: usize = 2;
 
-/// Maximum number of other instances up to which each reports to all others.
+/// Maximum number of other instances for which each instance reports to all others.
 const MAX_MESH_PEERS: usize = 16;
 
 /// Time without an answer after which an instance is skipped.
@@ -54,7 +54,8 @@
     rank: Rank,
     /// When it is tried again, if it is skipped.
     retry_at: Option<Time>,
-    /// When the oldest unanswered message was sent to it.
+    /// When the oldest unanswered message was sent to it; [`CONNECT_GRACE`] later if there was no
+    /// open connection.
     unanswered_since: Option<Time>,
 }
 
--- a/crates/forward/src/aggregate/mod.rs
+++ b/crates/forward/src/aggregate/mod.rs
@@ -44,7 +44,7 @@
     pub domains: domains::Domains,
     /// Load of this instance at the last publication.
     own: Report,
-    /// Rows that were sent to members.
+    /// Rows to send to members.
     pub table: table::Table,
     /// Answers of aggregators.
     pub views: view::Views,
--- a/crates/forward/src/aggregate/table.rs
+++ b/crates/forward/src/aggregate/table.rs
@@ -5,8 +5,8 @@
 
 use crate::{endpoint::Load, load::Report, prelude::*};
 
-/// Change of the tokens of a row from which on it is sent again; its effect on a cost is below the
-/// random addition.
+/// Minimum change of the tokens of a row for which it is sent again; a smaller one changes a cost by
+/// less than the random addition.
 const MIN_CHANGE_TOKENS: u32 = 512;
 
 /// The same for prefill tokens.
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -28,7 +28,7 @@
 /// rate of an idle engine.
 pub(crate) const PREFILL_TOKENS_PER_MS: f64 = 7.0;
 
-/// Maximum usual time per output token, at an engine with many runs.
+/// Usual maximum time per output token, reached at an engine with many runs.
 pub(crate) const MAX_TOKEN_TIME: Duration = Duration::from_millis(11);
 
 /// Cost of one more run, which slows every step of the others.
@@ -84,7 +84,7 @@
 /// Result of a choice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Pick {
-    /// Send to this endpoint, with a copy of the KV cache at the other one.
+    /// Send to this endpoint, with a copy of the KV cache at the other one, if any.
     Send(EndpointKey, Option<EndpointKey>),
     /// No endpoint has capacity now.
     Wait,
@@ -297,7 +297,8 @@
             && endpoint.rate_limiter.allows(now, self.send_quota(service))
     }
 
-    /// This instance's share of the requests per second to one cold endpoint of a service.
+    /// This instance's share of the requests per second to one cold endpoint of a service; at least
+    /// one, and unlimited for a service that is never cold.
     fn send_quota(&self, service: &Service) -> usize {
         if service.cold_rate <= 0.0 {
             return usize::MAX;
--- a/crates/forward/src/config.rs
+++ b/crates/forward/src/config.rs
@@ -16,7 +16,7 @@
 /// A route: requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub anonymous: bool,
     /// Longest interval between two events of a stream that counts as on time.
     pub gap: Option<Duration>,
@@ -74,7 +74,7 @@
 /// A group of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Warm-up time of an endpoint after its start, in which it is cold.
+    /// Time for which an endpoint is cold after its start.
     pub cold: Duration,
     /// Requests per second that a cold endpoint can handle, over all instances; zero if it is never
     /// cold.
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions about requests that are forwarded by host and path.
 //!
-//! This crate does no I/O: the current time is an argument, randomness comes from a generator that
-//! the caller passes in. [`State`] is the state of one instance.
+//! This crate does no I/O: the current time is an argument, and randomness comes from a generator
+//! that the caller passes in. [`State`] is the state of one instance.
 
 pub mod admission;
 pub mod aggregate;
--- a/crates/forward/src/load.rs
+++ b/crates/forward/src/load.rs
@@ -1,7 +1,7 @@
 //! Load of endpoints over all instances, from the reports of peers.
 //!
-//! Every request passes through an instance, so the requests in progress there are more current
-//! than load reports of the endpoints, and cost no call.
+//! Every request passes through an instance, so the instances' own counts are more current than
+//! load reports of the endpoints, and need no extra calls.
 
 use crate::{endpoint::Load, prelude::*};
 
--- a/crates/forward/src/outcome.rs
+++ b/crates/forward/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Reasons why a request gets no answer of an endpoint.
+//! Reasons why a request is rejected or fails.
 
 use crate::prelude::*;
 
@@ -14,7 +14,7 @@
     BodyTooLarge,
     /// The answer was interrupted; the request may have run.
     Broken,
-    /// No endpoint has capacity in time.
+    /// No endpoint had capacity in time.
     Full,
     /// The configuration of this instance is too old.
     Stale,
--- a/crates/forward/src/reader.rs
+++ b/crates/forward/src/reader.rs
@@ -212,7 +212,7 @@
         let first_rank = candidates.clone().filter(is_current).map(rank_of).min();
         let own_rank = rank(own.name, own.topic);
         match first_rank {
-            // A peer or this instance is no reader if it does not reach the store.
+            // An instance whose knowledge is too old probably does not reach the store.
             Some(first_rank) => own_rank < first_rank && own.freshness.within(now, own.max_age),
             None => candidates.map(rank_of).all(|other| own_rank < other),
         }
--- a/crates/forward/src/sequence.rs
+++ b/crates/forward/src/sequence.rs
@@ -56,7 +56,7 @@
         self.count
     }
 
-    /// Id of the last event.
+    /// Id of the last accepted event; before the first one, of the last event the caller had.
     #[must_use]
     pub fn last(&self) -> Option<&str> {
         self.last.as_deref()
