--- a/crates/decision/tests/fairness.rs
+++ b/crates/decision/tests/fairness.rs
@@ -55,12 +55,12 @@
         ],
         schema: 1,
     };
-    let line = ConfigRecord {
+    let config_record = ConfigRecord {
         data: Bytes::new(),
         offset: 0,
         record,
     };
-    let event = Event::Configured(line);
+    let event = Event::Configured(config_record);
     state.step(Time::default(), Wall(0), event, &mut Vec::new());
     state
 }
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -144,7 +144,7 @@
             faults: [0; 5],
             pending: Vec::new(),
             epochs: 0,
-            config: vec![line(0, record())],
+            config: vec![config_record(0, record())],
             log_start: 0,
             log: Vec::new(),
             now_ms: 1_000_000,
@@ -177,10 +177,10 @@
                 self.outage = outage;
             }
             Op::Publish => self.publish(),
-            Op::Read(core, most) => self.read(core % CORES, most % 4),
+            Op::Read(core, max) => self.read(core % CORES, max % 4),
             Op::Relay(core, index) => {
-                let line = self.config[index % self.config.len()].clone();
-                self.step(core % CORES, Event::Configured(line));
+                let record = self.config[index % self.config.len()].clone();
+                self.step(core % CORES, Event::Configured(record));
             }
             Op::Repeat(index) => self.deliver(index, true),
             Op::Restart => {
@@ -374,7 +374,7 @@
             changes: vec![change],
             schema: 1,
         };
-        self.config.push(line(offset, record));
+        self.config.push(config_record(offset, record));
     }
 
     /// Handles a request at an endpoint.
@@ -444,7 +444,7 @@
         self.pending.push(event);
     }
 
-    fn read(&mut self, core: usize, most: usize) {
+    fn read(&mut self, core: usize, max_batches: usize) {
         if self.outage {
             return;
         }
@@ -457,7 +457,7 @@
             let kept = self.log.get(self.log_start).map_or(wall, |(at, _)| *at);
             self.step(core, Event::ClaimsCoveredFrom(kept));
         }
-        let until = self.log.len().min(from.saturating_add(most));
+        let until = self.log.len().min(from.saturating_add(max_batches));
         let batches = self.log[from..until].iter().map(|(_, batch)| batch.clone());
         let batches = batches.collect();
         self.cores[core].read = Some(until);
@@ -466,9 +466,9 @@
             self.step(core, Event::ClaimsCaughtUp(now));
         }
         let next = self.cores[core].state.config.next();
-        let lacking = self.config.iter().filter(|line| line.offset >= next);
-        for line in lacking.cloned().collect::<Vec<_>>() {
-            self.step(core, Event::Configured(line));
+        let lacking = self.config.iter().filter(|record| record.offset >= next);
+        for record in lacking.cloned().collect::<Vec<_>>() {
+            self.step(core, Event::Configured(record));
         }
         self.step(core, Event::ConfigCaughtUp(now));
         let engine = self.engine(core);
@@ -668,7 +668,7 @@
     }
 }
 
-fn line(offset: u64, record: Record) -> ConfigRecord {
+fn config_record(offset: u64, record: Record) -> ConfigRecord {
     ConfigRecord {
         data: Bytes::new(),
         offset,
--- a/crates/forward/tests/aggregates.rs
+++ b/crates/forward/tests/aggregates.rs
@@ -249,9 +249,9 @@
     }
 
     /// Number of requests at all endpoints, without those of one instance.
-    fn actual(&self, but: usize) -> u32 {
+    fn actual(&self, except: usize) -> u32 {
         let others = self.nodes.iter().enumerate();
-        let others = others.filter(|(index, _)| *index != but);
+        let others = others.filter(|(index, _)| *index != except);
         others.map(|(_, node)| requests(&node.own)).sum()
     }
 
--- a/crates/forward/tests/simulation/mod.rs
+++ b/crates/forward/tests/simulation/mod.rs
@@ -448,8 +448,8 @@
             assert!(!known, "sent to a disabled domain");
         }
         if let Some((since, announced)) = self.instances[index].left[engine] {
-            let doubted = !announced && self.now < since + MAX_REMOVAL_DELAY_MS;
-            assert!(doubted, "sent to an engine that left");
+            let removal_delayed = !announced && self.now < since + MAX_REMOVAL_DELAY_MS;
+            assert!(removal_delayed, "sent to an engine that left");
         }
     }
 
