--- a/crates/decision/src/batch.rs
+++ b/crates/decision/src/batch.rs
@@ -37,10 +37,11 @@
     Refused,
 }
 
-/// Entries waiting to be appended.
+/// Entries that wait to be appended or are in flight.
 ///
-/// Entries of a lost append are appended again. Duplicates have no effect, because every
-/// entry names its claim or the holder it replaces.
+/// Entries of a lost append are appended again. A duplicate has no effect if it is about a
+/// claim, an initialization or a served request. A duplicate that acquires or transfers quota
+/// may move more of it, but the sum of the quotas stays within the limit.
 #[derive(Debug, Default)]
 pub struct AppendQueue {
     in_flight: Vec<Waiting>,
@@ -48,7 +49,7 @@
     waiting: VecDeque<Waiting>,
 }
 
-/// An entry that waits to be appended.
+/// An entry that waits to be appended or is in flight.
 #[derive(Clone, Debug)]
 struct Waiting {
     /// Whether a copy of it may already be in the log.
--- a/crates/decision/src/call.rs
+++ b/crates/decision/src/call.rs
@@ -5,7 +5,7 @@
     prelude::*,
 };
 
-/// `Retry-After` of requests refused because the log is unreachable.
+/// `Retry-After` of orders refused on arrival because the claim stream was not read recently.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl State {
--- a/crates/decision/src/config.rs
+++ b/crates/decision/src/config.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Replaces the configuration by a snapshot; false if the snapshot is not newer.
+    /// Replaces the configuration with a snapshot; false if the snapshot is not newer.
     pub fn restore(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.next <= self.next {
             return false;
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -104,9 +104,9 @@
         u64::from(prompt) + u64::from(limit.min(expected))
     }
 
-    /// Discards the load report of an endpoint after a failure, to be polled on the next tick.
+    /// Discards the load report of an endpoint after a failure; the next tick requests a new one.
     ///
-    /// The engine may have restarted and be cold, and requests sent by the old report could
+    /// The engine may have restarted and be cold, and requests sent based on the old report could
     /// overload it.
     pub(crate) fn discard_report(&mut self, endpoint: endpoint::Key) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
@@ -171,7 +171,7 @@
             return;
         };
         if let Some(proof) = proof {
-            proof.send();
+            proof.consume();
             self.retry_budget.deposit();
         }
         request.sends += 1;
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -1,9 +1,9 @@
 //! Relay of the configuration between instances.
 //!
 //! An instance that cannot reach the log must still learn within seconds that a failure
-//! domain was disabled. Instances send their watermark to a few fixed peers,
-//! which answer with the records that the sender lacks. The number of peers is constant, so
-//! the cost per instance does not grow with the number of instances.
+//! domain was disabled. Instances send their watermark to a few fixed peers, which answer
+//! with the records that the sender lacks. The number of peers is constant, so the cost per
+//! instance does not grow with the number of instances.
 
 use crate::{event::Peer, prelude::*, routing::rendezvous};
 
--- a/crates/decision/src/outcome.rs
+++ b/crates/decision/src/outcome.rs
@@ -16,8 +16,8 @@
         Self(())
     }
 
-    /// Consumes the proof before an attempt is written.
-    pub(crate) fn send(self) {
+    /// Consumes the proof, as an attempt is written or the request is refused.
+    pub(crate) fn consume(self) {
         let Self(()) = self;
     }
 }
@@ -64,7 +64,7 @@
     /// Consumes the proof that nothing was sent.
     #[must_use]
     pub fn new(proof: Unsent, refusal: Refusal, retry_after: Option<Duration>) -> Self {
-        proof.send();
+        proof.consume();
         Self {
             refusal,
             retry_after,
@@ -104,7 +104,7 @@
 /// Why a request was refused without being run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// Endpoints exist but none accepted the request.
+    /// The last attempt failed, and the retry budget is used up.
     AllRefused,
     /// The caller disconnected before the request was sent.
     CallerGone,
--- a/crates/decision/src/routing.rs
+++ b/crates/decision/src/routing.rs
@@ -45,8 +45,8 @@
     /// Whether an endpoint may get new requests, regardless of its load.
     ///
     /// While the configuration is stale, only endpoints in the own failure domain are used:
-    /// another one may have been disabled without this instance knowing, and
-    /// requests would go to endpoints that are about to be switched off.
+    /// another domain may have been disabled without this instance knowing, and requests
+    /// would go to endpoints that are about to be switched off.
     pub(crate) fn usable(&self, now: Time, endpoint: &Endpoint) -> bool {
         if !endpoint.in_subset
             || endpoint.leaving()
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -5,7 +5,7 @@
     rand::{SeedableRng, rngs::StdRng},
 };
 
-/// `Retry-After` of requests refused for lack of capacity or configuration.
+/// `Retry-After` of refused requests that may succeed a little later.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// State of an entry instance, owned by its event loop.
@@ -13,7 +13,7 @@
 pub struct State {
     /// Requests that wait for an endpoint.
     pub backlog: Backlog,
-    /// Entries being appended to the claim stream.
+    /// Entries to append to the claim stream.
     pub appends: crate::batch::AppendQueue,
     /// Budget for retries.
     pub retry_budget: RetryBudget,
--- a/crates/decision/src/stream.rs
+++ b/crates/decision/src/stream.rs
@@ -175,7 +175,7 @@
             proof: Some(proof), ..
         } = std::mem::replace(&mut request.phase, Phase::Transition)
         {
-            proof.send();
+            proof.consume();
         }
         request.phase = Phase::Running(Run {
             claim: None,
--- a/crates/decision/src/subset.rs
+++ b/crates/decision/src/subset.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Name digests of the instances that have an endpoint in a subset, in rendezvous order.
+    /// Name digests of the instances whose subsets contain the endpoint, in rendezvous order;
+    /// instances that are shutting down are left out.
     pub(crate) fn instances_with(&self, endpoint: &Endpoint) -> Vec<u64> {
         let mut rings: Vec<(&str, Vec<u64>)> = Vec::new();
         let mut instances = Vec::new();
