--- a/crates/forward/src/endpoint.rs
+++ b/crates/forward/src/endpoint.rs
@@ -42,7 +42,7 @@
 /// Load of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Tokens of [`Self::tokens`] that are for copies of runs at other engines.
+    /// Part of [`Self::tokens`] that is for copies of runs at other engines.
     pub copies: u32,
     /// Expected KV-cache demand of its requests, in tokens.
     pub tokens: u32,
